--- a/include/fennelladder/dispatch/carrier_table.hpp
+++ b/include/fennelladder/dispatch/assignment_table.hpp
@@ -1,10 +1,10 @@
 // Which nodes carry the requests of a target that bears few, and how many each.
 //
-//     carrier_table carriers(self, {});
+//     assignment_table carriers(self, {});
 //     carriers.set_hosts(large, small);           // whom the roster knows
-//     if (sends.count(now, cold_span) < carriers.cold_share(target, limit)) ...
-//     if (sends.count(now, limit_span) <
-//         carriers.limited_share(target, rate, silence)) ...
+//     if (sends.count(now, cold_window) < carriers.cold_quota(target, limit))
+//     ... if (sends.count(now, limit_window) <
+//         carriers.limited_quota(target, rate, silence)) ...
 //
 // What a cold target bears, and what one that names a limit takes, is counted
 // over all nodes. Nodes can't ask each other before each request, and a rate
@@ -25,8 +25,8 @@
 // Cost: a rank is linear in the hosts, and kept until these change. Not thread
 // safe.
 
-#ifndef FENNELLADDER_DISPATCH_CARRIER_TABLE_HPP
-#define FENNELLADDER_DISPATCH_CARRIER_TABLE_HPP
+#ifndef FENNELLADDER_DISPATCH_ASSIGNMENT_TABLE_HPP
+#define FENNELLADDER_DISPATCH_ASSIGNMENT_TABLE_HPP
 
 #include "fennelladder/base/ids.hpp"
 #include "fennelladder/base/time.hpp"
@@ -40,42 +40,42 @@
 namespace fennelladder::dispatch {
 
 /// Spans over which requests are counted against what a target bears.
-inline constexpr duration cold_span = seconds(1);
-inline constexpr duration limit_span = seconds(4);
+inline constexpr duration cold_window = seconds(1);
+inline constexpr duration limit_window = seconds(4);
 
-struct carrier_options
+struct assignment_options
 {
     /// Nodes that carry one target. With one, its loss starves the target;
     /// with many, the parts are so small that a burst at one finds no room.
     std::size_t carriers = 3;
-    /// A limit that has room for so many requests a node in a limit_span is
+    /// A limit that has room for so many requests a node in a limit_window is
     /// carried by more nodes than that: callers of the others are refused where
     /// all targets of a service name limits.
-    std::size_t least_part = 2;
+    std::size_t min_requests_per_node = 2;
     /// Part of what a cold target bears that the carriers use; the rest is for
     /// nodes that know other hosts than the others do.
     double planned = 0.67;
 };
 
-class carrier_table
+class assignment_table
 {
 public:
-    carrier_table(host_id self, carrier_options options);
+    assignment_table(host_id self, assignment_options options);
 
     /// All hosts that may carry, in any order, this one among them if it may:
     /// `first`, and behind all of these `rest`, which carry no cold targets.
     /// Empty while this node doesn't know enough of them: it carries nothing.
     void set_hosts(std::vector<host_id> first, std::vector<host_id> rest = {});
 
-    /// Requests that this node may send to a cold target in any cold_span.
+    /// Requests that this node may send to a cold target in any cold_window.
     /// `limit`: what the target bears from all nodes.
-    std::uint32_t cold_share(const target_id& target,
+    std::uint32_t cold_quota(const target_id& target,
                              std::uint32_t limit) const;
 
-    /// Requests that this node may send in any limit_span to a target that
+    /// Requests that this node may send in any limit_window to a target that
     /// takes `rate` >= 0 a second from all nodes, `silence` after its last
     /// answer to any node.
-    std::uint32_t limited_share(const target_id& target, double rate,
+    std::uint32_t limited_quota(const target_id& target, double rate,
                                 duration silence) const;
 
 private:
@@ -83,7 +83,7 @@
     std::size_t count_ahead(const target_id& target) const;
 
     host_id self_;
-    carrier_options options_;
+    assignment_options options_;
     std::vector<host_id> first_;
     std::vector<host_id> rest_;
     bool is_first_ = false; ///< Whether this host is among `first_`.
@@ -97,7 +97,7 @@
 public:
     void note(instant now);
 
-    /// Within the span up to `now`. Precondition: span <= limit_span.
+    /// Within the span up to `now`. Precondition: span <= limit_window.
     std::size_t count(instant now, duration span) const;
 
 private:
--- a/include/fennelladder/dispatch/attempt_policy.hpp
+++ b/include/fennelladder/dispatch/attempt_policy.hpp
@@ -43,7 +43,7 @@
 bool proved_not_run(attempt_end ended);
 
 /// A request's way so far.
-struct course
+struct request_state
 {
     const catalog::route* way = nullptr;
     int sent = 0;         ///< Attempts whose request was sent.
@@ -89,19 +89,19 @@
 struct attempt_policy_options
 {
     /// Sends of one request, those that targets rejected among them.
-    int most_sends = 3;
-    int most_failed_connects = 4;
+    int max_sends = 3;
+    int max_failed_connects = 4;
     /// With less left, another attempt is of no use.
-    duration least_time = milliseconds(60);
+    duration min_time_left = milliseconds(60);
 };
 
 /// Pure; thread safe.
-next_step decide_next(const course& so_far, attempt_end ended,
+next_step decide_next(const request_state& so_far, attempt_end ended,
                       const attempt_policy_options& options);
 
 /// What the caller gets when the retry that decide_next() asked for can't be
 /// taken. Pure; thread safe.
-next_action give_up(const course& so_far, attempt_end ended);
+next_action give_up(const request_state& so_far, attempt_end ended);
 
 } // namespace fennelladder::dispatch
 
--- a/include/fennelladder/dispatch/poison_list.hpp
+++ b/include/fennelladder/dispatch/poison_list.hpp
@@ -37,16 +37,17 @@
 namespace fennelladder::dispatch {
 
 /// Recognises a request that is sent again.
-using request_mark = number_id<struct request_mark_tag>;
+using request_fingerprint = number_id<struct request_fingerprint_tag>;
 
 /// The mark of a request. Thread safe.
-request_mark mark_of(std::string_view method, std::string_view path,
-                     const team_id& team, std::string_view body);
+request_fingerprint fingerprint_of(std::string_view method,
+                                   std::string_view path, const team_id& team,
+                                   std::string_view body);
 
 /// Processes of targets that died while the request ran there.
 struct poison_record
 {
-    request_mark mark;
+    request_fingerprint mark;
     std::vector<catalog::target_process> deaths; ///< Each once, in order.
 };
 
@@ -56,8 +57,8 @@
     /// ran beside a poisonous request is noted with one death as well.
     std::size_t deaths = 2;
     /// A record is forgotten this long after its last death.
-    duration memory = minutes(10);
-    std::size_t most_records = 4096;
+    duration retention = minutes(10);
+    std::size_t max_records = 4096;
 };
 
 /// Not thread safe.
@@ -66,13 +67,13 @@
 public:
     explicit poison_list(poison_list_options options);
 
-    bool is_poison(request_mark mark, instant now) const;
+    bool is_poison(request_fingerprint mark, instant now) const;
 
     /// The process died while the request ran there. True if that is news. A
     /// death that doesn't say its start (nodes of earlier releases tell such)
     /// is any known death of the id.
-    bool note_death(request_mark mark, const catalog::target_process& target,
-                    instant now);
+    bool note_death(request_fingerprint mark,
+                    const catalog::target_process& target, instant now);
 
     /// Takes over what another node knows. True if that is news.
     bool merge(const poison_record& record, instant now);
@@ -91,7 +92,7 @@
     void forget(instant now);
 
     poison_list_options options_;
-    std::unordered_map<request_mark, entry> entries_;
+    std::unordered_map<request_fingerprint, entry> entries_;
 };
 
 } // namespace fennelladder::dispatch
--- a/include/fennelladder/dispatch/retry_allowance.hpp
+++ b/include/fennelladder/dispatch/retry_budget.hpp
@@ -22,8 +22,8 @@
 // hosts are those known for long, living or not, and none share the slack
 // while a node doesn't know them.
 
-#ifndef FENNELLADDER_DISPATCH_RETRY_ALLOWANCE_HPP
-#define FENNELLADDER_DISPATCH_RETRY_ALLOWANCE_HPP
+#ifndef FENNELLADDER_DISPATCH_RETRY_BUDGET_HPP
+#define FENNELLADDER_DISPATCH_RETRY_BUDGET_HPP
 
 #include "fennelladder/base/ids.hpp"
 #include "fennelladder/base/time.hpp"
@@ -34,7 +34,7 @@
 
 namespace fennelladder::dispatch {
 
-struct retry_allowance_options
+struct retry_budget_options
 {
     double share = 0.2; ///< Retries per request.
     double slack = 50;  ///< Retries beside the share, over all nodes.
@@ -42,16 +42,16 @@
     /// Part of the limit that is used. The rest covers what the operator counts
     /// in another window than this node does: retries under way, and requests
     /// that were long on their way here.
-    double caution = 0.85;
+    double safety_factor = 0.85;
     /// Part of what is earned that may be saved up.
     double saved = 0.5;
 };
 
 /// Not thread safe.
-class retry_allowance
+class retry_budget
 {
 public:
-    explicit retry_allowance(retry_allowance_options options);
+    explicit retry_budget(retry_budget_options options);
 
     /// How many hosts share the slack; 0: not known, so that this node has no
     /// part of it.
@@ -88,7 +88,7 @@
 
     static constexpr int slices_per_window = 20;
 
-    retry_allowance_options options_;
+    retry_budget_options options_;
     std::size_t hosts_ = 0;
     instant hosts_known_; ///< Since when `hosts_` isn't 0.
     std::unordered_map<service_id, account> accounts_;
--- a/include/fennelladder/dispatch/signal_state.hpp
+++ b/include/fennelladder/dispatch/signal_state.hpp
@@ -1,7 +1,7 @@
 // What one process of a target has said of itself that still holds.
 //
 //     signal_state said;
-//     signal_news news = said.take(signals_of_answer, now);
+//     signal_changes news = said.take(signals_of_answer, now);
 //     if (said.leaving() || said.rest_left(now) > duration(0)) ...
 //
 // The signals, whom each binds, and what ends it:
@@ -31,7 +31,7 @@
 namespace fennelladder::dispatch {
 
 /// Which signals said something new.
-struct signal_news
+struct signal_changes
 {
     bool leaving = false;
     bool rest = false;
@@ -41,7 +41,7 @@
 };
 
 /// The limit of requests that a target named, or that it names none.
-struct rate_word
+struct rate_signal
 {
     std::optional<double> rate; ///< A second, from all nodes; unset: no limit.
     duration ago{0};
@@ -51,17 +51,17 @@
 {
 public:
     /// Takes what an answer to this node says.
-    signal_news take(const catalog::target_signals& said, instant now);
+    signal_changes take(const catalog::target_signals& said, instant now);
 
     /// Another node was told that the process leaves. Whether that is news.
-    bool take_peers_leaving(instant now);
+    bool apply_peer_leaving(instant now);
 
     /// Another node was told of a limit as `at` says; older words than the
     /// last are passed over. Whether that is news.
-    bool take_peers_limit(std::optional<double> rate, instant at);
+    bool apply_peer_limit(std::optional<double> rate, instant at);
 
     /// The process is cold until `until`, by its entry or an evacuation's end.
-    void cool_until(instant until);
+    void extend_cold_until(instant until);
 
     bool leaving() const { return leaving_; }
     duration rest_left(instant now) const;
@@ -71,10 +71,10 @@
     std::optional<double> rate_limit(instant now) const;
 
     /// Since any node had a word on the limit.
-    duration limit_silence(instant now) const { return now - limit_said_; }
+    duration limit_signal_age(instant now) const { return now - limit_said_; }
 
     /// What this node has to tell its peers of the limit.
-    std::optional<rate_word> limit_for_peers(instant now) const;
+    std::optional<rate_signal> limit_for_peers(instant now) const;
 
     /// How long ago an answer first told this node that the process leaves;
     /// unset: never, or too long for peers to be told.
--- a/include/fennelladder/dispatch/target_book.hpp
+++ b/include/fennelladder/dispatch/target_registry.hpp
@@ -22,15 +22,15 @@
 // shared parts from the one that holds them, which takes milliseconds where
 // reading takes a tenth of a second.
 //
-// What others send is heard with a lag (peer_load). A failing target leaves
+// What others send is heard with a lag (set_peer_load). A failing target leaves
 // the choice on first-hand evidence and is tried again with one request at a
 // time. The list may lag: a target that says it is another life is dropped
 // at once.
 //
 // Targets of an evacuated data centre, and those outside of the regions that a
 // request names, are no choice. A cold target is one only for the nodes that
-// carry its requests (dispatch/carrier_table.hpp), and for them as often as it
-// bears. It is known to be cold by its own word or since its data centre's
+// carry its requests (dispatch/assignment_table.hpp), and for them as often as
+// it bears. It is known to be cold by its own word or since its data centre's
 // evacuation ended; a target that answers again after it couldn't be reached
 // may have started anew, and gets one request a second from each of these nodes
 // until that is known.
@@ -52,13 +52,13 @@
 //
 // Cost: choose() is linear in the targets of the service. Not thread safe.
 
-#ifndef FENNELLADDER_DISPATCH_TARGET_BOOK_HPP
-#define FENNELLADDER_DISPATCH_TARGET_BOOK_HPP
+#ifndef FENNELLADDER_DISPATCH_TARGET_REGISTRY_HPP
+#define FENNELLADDER_DISPATCH_TARGET_REGISTRY_HPP
 
 #include "fennelladder/base/random.hpp"
 #include "fennelladder/catalog/configuration.hpp"
 #include "fennelladder/catalog/target_entry.hpp"
-#include "fennelladder/dispatch/carrier_table.hpp"
+#include "fennelladder/dispatch/assignment_table.hpp"
 #include "fennelladder/dispatch/signal_state.hpp"
 
 #include <cstdint>
@@ -79,7 +79,7 @@
 };
 
 /// What a request asks of a target.
-struct work_wish
+struct routing_request
 {
     service_id service;
     bool on_engine = false;
@@ -91,7 +91,7 @@
 };
 
 /// Work given to a target, to be taken back with the same value.
-struct work_share
+struct assigned_work
 {
     std::uint32_t reading = 0; ///< Prompt tokens to be read.
 };
@@ -102,7 +102,7 @@
     catalog::target_start start; ///< Of the process that was chosen.
     std::string address;
     data_center_id data_center;
-    work_share work;
+    assigned_work work;
     duration predicted{0}; ///< Until the first byte, on an average target.
     double cost = 0;       ///< Of the target chosen, in seconds.
     std::size_t candidates = 0;
@@ -130,23 +130,23 @@
 std::string_view to_string(target_evidence value);
 
 /// Why no target can be chosen, the later the nearer it was to be one.
-enum class absence : std::uint8_t
+enum class no_target_reason : std::uint8_t
 {
-    none_usable, ///< None is listed, or all are gone, or were tried.
-    leaving,     ///< Those left say that they leave.
-    outside,     ///< Those left are outside of the regions allowed.
-    evacuated,   ///< Data centres of those left are evacuated.
-    cold,        ///< Those left are cold and have got what they bear.
-    resting,     ///< Those left asked this node for rest.
-    limited      ///< Those left name limits and have got what these allow.
+    none_usable,     ///< None is listed, or all are gone, or were tried.
+    leaving,         ///< Those left say that they leave.
+    outside_regions, ///< Those left are outside of the regions allowed.
+    evacuated,       ///< Data centres of those left are evacuated.
+    cold,            ///< Those left are cold and have got what they bear.
+    backing_off,     ///< Those left asked this node for rest.
+    limited          ///< Those left name limits and have got what these allow.
 };
 
-std::string_view to_string(absence value);
+std::string_view to_string(no_target_reason value);
 
 /// What a service's targets bear while they are cold.
-struct cold_traits
+struct cold_start_profile
 {
-    duration lasts{0};       ///< From a target's start.
+    duration warm_up{0};     ///< From a target's start.
     std::uint32_t limit = 0; ///< Requests in any one second, from all nodes.
 };
 
@@ -161,7 +161,7 @@
 };
 
 /// A target's word on the limit of requests that it takes.
-struct limit_word
+struct limit_signal
 {
     target_id target;
     catalog::target_start start;
@@ -169,16 +169,16 @@
     duration ago{0};
 };
 
-struct target_book_options
+struct target_registry_options
 {
     host_id self;
     data_center_id own_data_center;
     std::map<data_center_id, region_id> regions; ///< Of all data centres.
-    carrier_options carriers;
+    assignment_options carriers;
     /// Reading speed assumed of an engine, tokens a second; what a target
     /// really does shows in its slowness. Of the engines measured so far,
     /// 48 to 55 thousand.
-    double reading_speed = 50'000;
+    double prefill_speed = 50'000;
     /// Fetching a token from another target, as a part of reading it: engines
     /// are linked at hundreds of gigabits a second, so some milliseconds for
     /// a part that takes a tenth of a second to read.
@@ -187,49 +187,49 @@
     /// requests for it gain as well if it stays in one place.
     double shared_weight = 3;
     /// Fetching less than this is not worth the detour, tokens.
-    std::uint32_t least_fetch = 256;
+    std::uint32_t min_fetch_tokens = 256;
     /// Time to the first byte that each request running on an engine adds.
-    duration per_running = milliseconds(2);
+    duration delay_per_running = milliseconds(2);
     /// Whether all nodes expect a shared part at the same target before one of
     /// them has sent it there.
-    bool expects_parts = true;
+    bool predicts_part_holders = true;
     /// Whether what other nodes have running counts.
-    bool counts_peers = true;
+    bool counts_peer_load = true;
     /// A target that fails all its requests costs this many objectives more.
     double failure_cost = 3;
     /// Service time assumed of a plain service's target.
-    duration plain_time = milliseconds(50);
+    duration plain_service_time = milliseconds(50);
     /// Added for a target in another data centre: a round trip and the price
     /// of the bytes.
-    duration distance = milliseconds(4);
+    duration remote_penalty = milliseconds(4);
     /// Weight of the newest observation in averages.
     double newest_weight = 0.25;
     /// Slowness and failures lately seen are halved in this time, so that a
     /// target that was shunned is tried again.
-    duration forget_half = seconds(3);
+    duration average_half_life = seconds(3);
     /// First and longest time that an unreachable target is left alone.
-    duration first_rest = milliseconds(300);
-    duration longest_rest = seconds(3);
+    duration initial_backoff = milliseconds(300);
+    duration max_backoff = seconds(3);
     /// A target from which nothing came for so long, though requests wait for
     /// it, gets no others as long as there is another. One that is alive
     /// answers some request, or goes on with some stream, several times a
     /// second. 0: never.
-    duration longest_quiet = seconds(1);
+    duration max_silence = seconds(1);
     /// A target that turned requests away gets none for this long.
-    duration full_rest = milliseconds(100);
+    duration full_backoff = milliseconds(100);
     /// How long a target that left the list is still sent work if it left
     /// while the platform was unwell: entries that lapsed meanwhile come back
     /// within two seconds if the target lives.
     duration lapsed_grace = milliseconds(1500);
     /// A part that was not used for this long counts as gone.
-    duration part_memory = seconds(20);
-    std::size_t most_parts = 4096; ///< Remembered a target.
+    duration part_retention = seconds(20);
+    std::size_t max_parts = 4096; ///< Remembered a target.
 };
 
-class target_book
+class target_registry
 {
 public:
-    explicit target_book(target_book_options options);
+    explicit target_registry(target_registry_options options);
 
     /// Takes the platform's list. `list_in_doubt`: the platform was unwell
     /// lately, so missing entries may come back. Returns the earlier entries
@@ -246,72 +246,75 @@
                               instant now);
 
     /// Services that aren't among these have no cold targets.
-    void set_cold_traits(std::unordered_map<service_id, cold_traits> traits);
+    void set_cold_start_profiles(
+        std::unordered_map<service_id, cold_start_profile> traits);
 
     /// The hosts that may carry requests of targets that bear few, see
-    /// carrier_table::set_hosts().
-    void set_carrier_hosts(std::vector<host_id> first,
-                           std::vector<host_id> rest = {});
+    /// assignment_table::set_hosts().
+    void set_assignable_hosts(std::vector<host_id> first,
+                              std::vector<host_id> rest = {});
 
     /// Takes what an answer of the target says of the target itself. What of
     /// it is news.
-    signal_news note_signals(const catalog::target_process& target,
-                             const catalog::target_signals& said, instant now);
+    signal_changes note_signals(const catalog::target_process& target,
+                                const catalog::target_signals& said,
+                                instant now);
 
     /// Words that this node has got lately of targets that name a limit, or
     /// did so a moment ago, for its peers.
-    std::vector<limit_word> own_limits(instant now) const;
+    std::vector<limit_signal> own_limits(instant now) const;
 
     /// The same from a peer, as of `at`. Those that are news here; older words
     /// than the last are passed over.
-    std::vector<limit_word> peer_limits(const std::vector<limit_word>& words,
-                                        instant at);
+    std::vector<limit_signal>
+    merge_peer_limits(const std::vector<limit_signal>& words, instant at);
 
     /// How long it takes until a target that asked for rest may be chosen, if
     /// all others of the wish's service that could be are no choice for longer
     /// than a moment; unset if one is, or if none will be. What was tried
     /// already counts as well: this is for the caller's next request.
-    std::optional<duration> wait_for_rest(const work_wish& wish,
-                                          instant now) const;
+    std::optional<duration> backoff_wait(const routing_request& wish,
+                                         instant now) const;
 
     /// Targets that have told this node lately that they leave, and whose
     /// entries don't say so, for its peers; the newest of them, at most `most`.
-    std::vector<catalog::target_process> told_leaving(std::size_t most,
-                                                      instant now) const;
+    std::vector<catalog::target_process> own_leaving(std::size_t most,
+                                                     instant now) const;
 
     /// The same from a peer. Those that are news here.
     std::vector<catalog::target_process>
-    peer_leaving(const std::vector<catalog::target_process>& targets,
-                 instant now);
+    merge_peer_leaving(const std::vector<catalog::target_process>& targets,
+                       instant now);
 
     /// The best target, or nothing when the service has none to offer.
-    std::optional<choice> choose(const work_wish& wish, instant now,
+    std::optional<choice> choose(const routing_request& wish, instant now,
                                  random_source& random);
 
     /// Why choose() finds nothing for this wish, by the target that was nearest
     /// to be chosen.
-    absence why_none(const work_wish& wish, instant now) const;
+    no_target_reason why_no_target(const routing_request& wish,
+                                   instant now) const;
 
     /// A request was sent. Every started() is followed by one finished() with
     /// the same choice.
-    void started(const choice& made, const work_wish& of, instant now);
+    void started(const choice& made, const routing_request& of, instant now);
 
     /// The first byte came `waited` after sending; its prompt is read.
     void first_byte(const choice& made, duration waited, instant now);
 
     /// Bytes of an answer came: the target is alive.
-    void heard(const catalog::target_process& target, instant now);
+    void note_activity(const catalog::target_process& target, instant now);
 
     /// The request is over; `read` says whether first_byte() was called.
     void finished(const choice& made, bool read, target_evidence evidence,
                   instant now);
 
     /// No request was started, but this was learned (a connection failed).
-    void learned(const catalog::target_process& target,
-                 target_evidence evidence, instant now);
+    void note_evidence(const catalog::target_process& target,
+                       target_evidence evidence, instant now);
 
     /// Another node's load, replacing what it said before.
-    void peer_load(const host_id& peer, std::vector<target_load> load);
+    void set_peer_load(const host_id& peer, std::vector<target_load> load);
     void forget_peer(const host_id& peer);
 
     /// What this node has running, for its peers.
@@ -365,31 +368,33 @@
     static bool is_leaving(const target_state& it);
     bool is_evacuated(const target_state& it) const;
     bool usable(const target_state& it, instant now) const;
-    std::optional<absence> what_bars(const target_state& it,
-                                     const work_wish& wish, instant now) const;
-    const cold_traits* traits_of(const target_state& it) const;
-    std::optional<std::uint32_t> cold_share(const target_state& it,
+    std::optional<no_target_reason> what_bars(const target_state& it,
+                                              const routing_request& wish,
+                                              instant now) const;
+    const cold_start_profile* traits_of(const target_state& it) const;
+    std::optional<std::uint32_t> cold_quota(const target_state& it,
                                             instant now) const;
     bool is_cold_to_us(const target_state& it, instant now) const;
-    std::optional<std::uint32_t> limited_share(const target_state& it,
+    std::optional<std::uint32_t> limited_quota(const target_state& it,
                                                instant now) const;
     bool is_limited_to_us(const target_state& it, instant now) const;
-    bool is_outside(const target_state& it, const work_wish& wish) const;
-    bool was_tried(const target_state& it, const work_wish& wish) const;
+    bool is_outside(const target_state& it, const routing_request& wish) const;
+    bool was_tried(const target_state& it, const routing_request& wish) const;
     void suspect_start(target_state& it, instant now) const;
     bool resting(const target_state& it, instant now) const;
     static bool asked_for_rest(const target_state& it, instant now);
     static void end_trial(target_state& it, instant now);
     bool is_quiet(const target_state& it, instant now) const;
-    std::uint32_t held(const target_state& it, const work_wish& wish,
+    std::uint32_t held(const target_state& it, const routing_request& wish,
                        bool expected_here, instant now) const;
     const target_state*
     expected_holder(const std::vector<target_state*>& candidates,
-                    const work_wish& wish, instant now) const;
-    double predicted_seconds(const target_state& it, const work_wish& wish,
+                    const routing_request& wish, instant now) const;
+    double predicted_seconds(const target_state& it,
+                             const routing_request& wish,
                              std::uint32_t reading) const;
-    double cost(const target_state& it, const work_wish& wish, double predicted,
-                instant now) const;
+    double cost(const target_state& it, const routing_request& wish,
+                double predicted, instant now) const;
     void rest(target_state& it, duration first, instant now);
     static void hear(target_state& it, instant now);
     void forget_parts(target_state& it, instant now) const;
@@ -403,10 +408,10 @@
     void recount_peers();
     void add_peer(const std::vector<target_load>& load, int sign);
 
-    target_book_options options_;
-    carrier_table carriers_;
+    target_registry_options options_;
+    assignment_table carriers_;
     std::vector<data_center_id> evacuated_; ///< Sorted.
-    std::unordered_map<service_id, cold_traits> cold_traits_;
+    std::unordered_map<service_id, cold_start_profile> cold_traits_;
     state_map targets_;
     std::unordered_map<service_id, std::vector<target_id>> by_service_;
     std::map<host_id, std::vector<target_load>> peer_loads_;
@@ -414,7 +419,7 @@
 
 /// The part of a prompt by which requests are brought together: the last one
 /// that is not the request's own. Nothing without a prompt.
-std::optional<std::uint64_t> meeting_part(std::span<const shared_part> prompt);
+std::optional<std::uint64_t> affinity_part(std::span<const shared_part> prompt);
 
 } // namespace fennelladder::dispatch
 
--- a/include/fennelladder/edge/allotment_writer.hpp
+++ b/include/fennelladder/edge/allotment_writer.hpp
@@ -65,7 +65,7 @@
     struct doubtful_write
     {
         prepaid::allotment_draft draft;
-        prepaid::write_mark mark;
+        prepaid::write_id mark;
         catalog::revision expected;
     };
 
--- a/include/fennelladder/edge/attempt.hpp
+++ b/include/fennelladder/edge/attempt.hpp
@@ -16,7 +16,7 @@
 #define FENNELLADDER_EDGE_ATTEMPT_HPP
 
 #include "fennelladder/dispatch/attempt_policy.hpp"
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 #include "fennelladder/edge/caller_reply.hpp"
 #include "fennelladder/edge/event_splitter.hpp"
 #include "fennelladder/edge/exchange.hpp"
--- a/include/fennelladder/edge/decision_options.hpp
+++ b/include/fennelladder/edge/decision_options.hpp
@@ -12,12 +12,12 @@
 
 #include "fennelladder/base/error.hpp"
 #include "fennelladder/dispatch/attempt_policy.hpp"
-#include "fennelladder/dispatch/retry_allowance.hpp"
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/retry_budget.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 #include "fennelladder/edge/entry_planner.hpp"
 #include "fennelladder/edge/target_connection.hpp"
-#include "fennelladder/prepaid/ration.hpp"
 #include "fennelladder/prepaid/stock_plan.hpp"
+#include "fennelladder/prepaid/urgency_reserve.hpp"
 
 #include <string>
 #include <string_view>
@@ -45,10 +45,10 @@
 struct decision_options
 {
     prepaid::stock_options stock;
-    prepaid::ration_options ration;
-    dispatch::target_book_options book;
+    prepaid::urgency_reserve_options urgency_reserve;
+    dispatch::target_registry_options book;
     dispatch::attempt_policy_options attempts;
-    dispatch::retry_allowance_options retries;
+    dispatch::retry_budget_options retries;
     entry_options entry;
     request_options requests;
     target_pool_options pool;
--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -13,8 +13,8 @@
 #include "fennelladder/catalog/evacuation_list.hpp"
 #include "fennelladder/catalog/target_entry.hpp"
 #include "fennelladder/dispatch/poison_list.hpp"
-#include "fennelladder/dispatch/retry_allowance.hpp"
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/retry_budget.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 #include "fennelladder/edge/decision_options.hpp"
 #include "fennelladder/edge/loop_lag.hpp"
 #include "fennelladder/edge/target_connection.hpp"
@@ -22,8 +22,8 @@
 #include "fennelladder/mesh/freshness.hpp"
 #include "fennelladder/mesh/news_lateness.hpp"
 #include "fennelladder/mesh/roster.hpp"
-#include "fennelladder/prepaid/loss_memory.hpp"
-#include "fennelladder/prepaid/purse.hpp"
+#include "fennelladder/prepaid/loss_tracker.hpp"
+#include "fennelladder/prepaid/token_balances.hpp"
 #include "fennelladder/telemetry/metrics.hpp"
 #include "platform/host_settings.hpp"
 
@@ -47,7 +47,7 @@
 /// Writes a line for each signal of a target that is news; `by` says who told
 /// it: an answer, or the peer.
 void log_signals(const target_id& target, const catalog::target_signals& said,
-                 const dispatch::signal_news& news, const std::string& by);
+                 const dispatch::signal_changes& news, const std::string& by);
 
 struct node_tables
 {
@@ -145,11 +145,11 @@
     instant targets_changed; ///< When the list last changed here.
     /// When a time ended in which nobody could say what the newest list was.
     std::optional<instant> targets_gap_ended;
-    dispatch::target_book book;
-    dispatch::retry_allowance retries;
+    dispatch::target_registry book;
+    dispatch::retry_budget retries;
     dispatch::poison_list poison;
-    prepaid::purse purse;
-    prepaid::loss_memory losses;
+    prepaid::token_balances token_balances;
+    prepaid::loss_tracker losses;
     mesh::roster nodes;
     target_pool pool;
     telemetry::metrics metrics;
--- a/include/fennelladder/edge/stock_keeper.hpp
+++ b/include/fennelladder/edge/stock_keeper.hpp
@@ -26,7 +26,7 @@
 #include "fennelladder/edge/allotment_writer.hpp"
 #include "fennelladder/edge/node_tables.hpp"
 #include "fennelladder/mesh/stock_book.hpp"
-#include "fennelladder/prepaid/outage_memory.hpp"
+#include "fennelladder/prepaid/outage_tracker.hpp"
 #include "fennelladder/prepaid/stock_plan.hpp"
 
 #include <functional>
@@ -138,7 +138,7 @@
     instant last_write_;
     instant alone_until_;
     bool reached_ = true;
-    prepaid::outage_memory outages_;
+    prepaid::outage_tracker outages_;
     int failures_ = 0; ///< Failed calls in a row.
 };
 
--- a/include/fennelladder/edge/target_prober.hpp
+++ b/include/fennelladder/edge/target_prober.hpp
@@ -32,15 +32,15 @@
 
     /// An answer of `target` to the request broke off.
     void broke(const catalog::target_process& target,
-               dispatch::request_mark mark);
+               dispatch::request_fingerprint mark);
 
     /// The request had no whole answer for another reason. It says something of
     /// the request only if the process is known to be over.
     void left_unfinished(const catalog::target_process& target,
-                         dispatch::request_mark mark);
+                         dispatch::request_fingerprint mark);
 
 private:
-    using suspect_list = std::vector<dispatch::request_mark>;
+    using suspect_list = std::vector<dispatch::request_fingerprint>;
 
     awaitable<void> probe(catalog::target_process target);
     awaitable<bool> is_unreachable(catalog::target_process target);
--- a/include/fennelladder/edge/token_desk.hpp
+++ b/include/fennelladder/edge/token_desk.hpp
@@ -22,7 +22,7 @@
 #include "fennelladder/edge/node_tables.hpp"
 #include "fennelladder/edge/stock_keeper.hpp"
 #include "fennelladder/mesh/stock_book.hpp"
-#include "fennelladder/prepaid/ration.hpp"
+#include "fennelladder/prepaid/urgency_reserve.hpp"
 
 #include <functional>
 #include <map>
@@ -142,7 +142,7 @@
     node_tables& tables_;
     sender send_;
     mesh::stock_book peers_;
-    prepaid::ration shares_;
+    prepaid::urgency_reserve shares_;
     stock_keeper keeper_;
     std::vector<std::weak_ptr<asio::steady_timer>> waiting_;
     /// Shared with the requests that wait, which may outlive the desk.
--- a/include/fennelladder/mesh/messages.hpp
+++ b/include/fennelladder/mesh/messages.hpp
@@ -25,7 +25,7 @@
 #include "fennelladder/catalog/evacuation_list.hpp"
 #include "fennelladder/catalog/target_entry.hpp"
 #include "fennelladder/dispatch/poison_list.hpp"
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include <cstdint>
 #include <optional>
@@ -91,7 +91,7 @@
     std::optional<duration> evacuations_age;
     /// Since its process started; not said by nodes of earlier releases.
     std::optional<duration> up_for;
-    /// Whole fleets lost lately, see prepaid/loss_memory.hpp; unset: unknown.
+    /// Whole fleets lost lately, see prepaid/loss_tracker.hpp; unset: unknown.
     std::optional<double> fleets_lost;
     /// Sent for news between two regular ones: without load and stock, of which
     /// the last said holds.
@@ -101,7 +101,7 @@
     std::vector<dispatch::target_load> load;
     std::vector<token_stock> stock;
     /// What targets told it lately of the requests that they take.
-    std::vector<dispatch::limit_word> limits;
+    std::vector<dispatch::limit_signal> limits;
     /// Targets that told it lately that they leave.
     std::vector<catalog::target_process> leaving;
     std::vector<dispatch::poison_record> poison;
--- a/include/fennelladder/prepaid/allotment_record.hpp
+++ b/include/fennelladder/prepaid/allotment_record.hpp
@@ -4,7 +4,7 @@
 //     allotment_draft draft = draft_allotment(record, config, wishes, mark);
 //     ... conditional write of draft.record ...
 //     on success: purse.credit(each of draft.granted)
-//     no answer:  read back; written_by(read, mark) decides
+//     no answer:  read back; contains_write(read, mark) decides
 //
 // Invariant: the amount allotted of a team never exceeds what was prepaid in
 // the configuration that the writer knows. Each writer raises amounts under
@@ -31,12 +31,12 @@
 namespace fennelladder::prepaid {
 
 /// Names one write: the writer's incarnation and a number.
-using write_mark = std::string;
+using write_id = std::string;
 
 struct allotment_record
 {
     std::map<team_id, tokens> allotted;
-    std::map<host_id, write_mark> last_write; ///< Of each node.
+    std::map<host_id, write_id> last_write; ///< Of each node.
 
     friend bool operator==(const allotment_record&,
                            const allotment_record&) = default;
@@ -54,26 +54,26 @@
 allotment_draft draft_allotment(const allotment_record& record,
                                 const token_amounts& prepaid,
                                 const token_amounts& wishes,
-                                const host_id& writer, const write_mark& mark);
+                                const host_id& writer, const write_id& mark);
 
 /// Whether the write named by `mark` is in the record.
-bool written_by(const allotment_record& record, const host_id& writer,
-                const write_mark& mark);
+bool contains_write(const allotment_record& record, const host_id& writer,
+                    const write_id& mark);
 
 /// What is left to hand out; 0 for a team that isn't prepaid.
-tokens left_of(const allotment_record& record, const token_amounts& prepaid,
-               const team_id& team);
+tokens unallotted(const allotment_record& record, const token_amounts& prepaid,
+                  const team_id& team);
 
 /// Whether `later` can have come after `earlier`: no team's amount is less.
-bool follows(const allotment_record& earlier, const allotment_record& later);
+bool may_follow(const allotment_record& earlier, const allotment_record& later);
 
 /// More than any team prepays; below it sums don't overflow.
-inline constexpr tokens most_allotted(1'000'000'000'000'000);
+inline constexpr tokens max_allotted(1'000'000'000'000'000);
 
 nlohmann::json to_json(const allotment_record& record);
 
 /// Fails with `corrupt` on anything but what to_json() makes, with amounts
-/// from 0 to most_allotted: then nothing may be handed out. A record in which
+/// from 0 to max_allotted: then nothing may be handed out. A record in which
 /// something is missing must not count as one in which nothing was allotted.
 result<allotment_record> allotment_from_json(const nlohmann::json& content);
 
--- a/include/fennelladder/prepaid/loss_memory.hpp
+++ b/include/fennelladder/prepaid/loss_tracker.hpp
@@ -1,9 +1,10 @@
 // How much of the fleet's stock died lately, as a number of whole fleets.
 //
-//     loss_memory losses(first_start, now);
+//     loss_tracker losses(first_start, now);
 //     losses.note_death(hosts, now);          // a process ended unannounced
-//     losses.hear(said, now);                 // what an older node remembers
-//     state.losses = losses.at(now);          // for prepaid/stock_plan.hpp
+//     losses.merge_peer(said, now);                 // what an older node
+//     remembers state.losses = losses.at(now);          // for
+//     prepaid/stock_plan.hpp
 //
 // What is stocked is lost with the node that holds it. After deaths others are
 // likelier, so less should lie about; the outage memory pulls the other way.
@@ -15,8 +16,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_PREPAID_LOSS_MEMORY_HPP
-#define FENNELLADDER_PREPAID_LOSS_MEMORY_HPP
+#ifndef FENNELLADDER_PREPAID_LOSS_TRACKER_HPP
+#define FENNELLADDER_PREPAID_LOSS_TRACKER_HPP
 
 #include "fennelladder/base/time.hpp"
 
@@ -25,20 +26,21 @@
 
 namespace fennelladder::prepaid {
 
-struct loss_options
+struct loss_tracker_options
 {
     /// A loss counts half as much after this long.
     duration half_life = minutes(5);
     /// By then a process that starts has heard the older ones.
-    duration acquaintance = seconds(3);
+    duration discovery_time = seconds(3);
 };
 
-class loss_memory
+class loss_tracker
 {
 public:
     /// `first_start`: no process of the system ran before this one, which
     /// starts `now`.
-    loss_memory(bool first_start, instant now, loss_options options = {});
+    loss_tracker(bool first_start, instant now,
+                 loss_tracker_options options = {});
 
     /// A process of one of `hosts` hosts ended without leaving. Precondition:
     /// hosts > 0.
@@ -46,7 +48,7 @@
 
     /// A node that started before this one remembers `said`. Precondition:
     /// said >= 0.
-    void hear(double said, instant now);
+    void merge_peer(double said, instant now);
 
     /// Whole fleets lost lately, >= 0.
     double at(instant now) const;
@@ -55,7 +57,7 @@
     std::optional<double> known(instant now) const;
 
 private:
-    loss_options options_;
+    loss_tracker_options options_;
     instant started_;
     bool presumes_all_;  ///< Until an older node is heard, all died.
     double counted_ = 0; ///< As of `changed_`.
--- a/include/fennelladder/prepaid/outage_memory.hpp
+++ b/include/fennelladder/prepaid/outage_tracker.hpp
@@ -1,6 +1,6 @@
 // How long the platform was lately out of reach of the whole fleet.
 //
-//     outage_memory outages;
+//     outage_tracker outages;
 //     outages.note(reached, now);              // at each look
 //     state.outage = outages.longest(now);     // for prepaid/stock_plan.hpp
 //
@@ -10,8 +10,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_PREPAID_OUTAGE_MEMORY_HPP
-#define FENNELLADDER_PREPAID_OUTAGE_MEMORY_HPP
+#ifndef FENNELLADDER_PREPAID_OUTAGE_TRACKER_HPP
+#define FENNELLADDER_PREPAID_OUTAGE_TRACKER_HPP
 
 #include "fennelladder/base/time.hpp"
 
@@ -20,19 +20,21 @@
 
 namespace fennelladder::prepaid {
 
-struct outage_options
+struct outage_tracker_options
 {
     /// An outage counts for so long after its end.
-    duration memory = minutes(10);
+    duration retention = minutes(10);
     /// A shorter one says nothing: a call that failed, a store that changed
     /// its leader.
-    duration least = seconds(1);
+    duration min_length = seconds(1);
 };
 
-class outage_memory
+class outage_tracker
 {
 public:
-    explicit outage_memory(outage_options options = {}) : options_(options) {}
+    explicit outage_tracker(outage_tracker_options options = {})
+        : options_(options)
+    {}
 
     /// Whether any node reaches the platform now, as far as is known.
     void note(bool reached, instant now);
@@ -48,7 +50,7 @@
         instant ended;
     };
 
-    outage_options options_;
+    outage_tracker_options options_;
     std::optional<instant> began_; ///< Of the one that lasts.
     std::deque<outage> past_;
 };
--- a/include/fennelladder/prepaid/purse.hpp
+++ b/include/fennelladder/prepaid/token_balances.hpp
@@ -12,8 +12,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_PREPAID_PURSE_HPP
-#define FENNELLADDER_PREPAID_PURSE_HPP
+#ifndef FENNELLADDER_PREPAID_TOKEN_BALANCES_HPP
+#define FENNELLADDER_PREPAID_TOKEN_BALANCES_HPP
 
 #include "fennelladder/base/decaying_rate.hpp"
 #include "fennelladder/base/ids.hpp"
@@ -35,7 +35,7 @@
     decaying_rate spending{seconds(4)};
 };
 
-class purse
+class token_balances
 {
 public:
     using holding_map = std::map<team_id, holding>;
--- a/include/fennelladder/prepaid/ration.hpp
+++ b/include/fennelladder/prepaid/urgency_reserve.hpp
@@ -13,8 +13,8 @@
 //
 // Pure but for its counts; not thread safe.
 
-#ifndef FENNELLADDER_PREPAID_RATION_HPP
-#define FENNELLADDER_PREPAID_RATION_HPP
+#ifndef FENNELLADDER_PREPAID_URGENCY_RESERVE_HPP
+#define FENNELLADDER_PREPAID_URGENCY_RESERVE_HPP
 
 #include "fennelladder/base/decaying_rate.hpp"
 #include "fennelladder/base/ids.hpp"
@@ -25,23 +25,25 @@
 
 namespace fennelladder::prepaid {
 
-struct ration_options
+struct urgency_reserve_options
 {
     /// What more urgent requests want in so long is kept back. An outage of the
     /// platform takes seven to nine seconds. 0: nothing is.
     duration span = seconds(8);
     /// No more than this share of the team's demand is kept back: urgent kinds
     /// that need most of the tokens would leave the others nothing at all.
-    double most_share = 0.25;
+    double max_share = 0.25;
     /// Of the demand that is remembered: it has to be known when the outage
     /// begins, and is small next to a team's ups and downs.
-    duration memory = seconds(8);
+    duration demand_memory = seconds(8);
 };
 
-class ration
+class urgency_reserve
 {
 public:
-    explicit ration(ration_options options) : options_(options) {}
+    explicit urgency_reserve(urgency_reserve_options options)
+        : options_(options)
+    {}
 
     /// A request of this urgency (0: the most urgent) wants tokens, whether it
     /// gets them or not.
@@ -51,7 +53,7 @@
     tokens kept_back(const team_id& team, int urgency, instant now) const;
 
 private:
-    ration_options options_;
+    urgency_reserve_options options_;
     std::map<team_id, std::map<int, decaying_rate>> demand_; ///< By urgency.
 };
 
--- a/libs/dispatch/carrier_table.cpp
+++ b/libs/dispatch/assignment_table.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/dispatch/carrier_table.hpp"
+#include "fennelladder/dispatch/assignment_table.hpp"
 
 #include "fennelladder/base/hash.hpp"
 
@@ -27,12 +27,12 @@
 
 } // namespace
 
-carrier_table::carrier_table(host_id self, carrier_options options)
+assignment_table::assignment_table(host_id self, assignment_options options)
     : self_(std::move(self)), options_(options)
 {}
 
-void carrier_table::set_hosts(std::vector<host_id> first,
-                              std::vector<host_id> rest)
+void assignment_table::set_hosts(std::vector<host_id> first,
+                                 std::vector<host_id> rest)
 {
     if (first == first_ && rest == rest_)
         return;
@@ -45,7 +45,7 @@
 
 /// How many hosts come before this one for the target. Precondition: it is
 /// among them.
-std::size_t carrier_table::rank(const target_id& target) const
+std::size_t assignment_table::rank(const target_id& target) const
 {
     assert(is_first_ || is_rest_);
     if (ranks_.size() >= most_ranks)
@@ -56,7 +56,7 @@
     return it->second;
 }
 
-std::size_t carrier_table::count_ahead(const target_id& target) const
+std::size_t assignment_table::count_ahead(const target_id& target) const
 {
     const std::uint64_t seed = hash64(target.str());
     const auto place_of = [&](const host_id& host) {
@@ -69,8 +69,8 @@
     return static_cast<std::size_t>(ahead) + (is_first_ ? 0 : first_.size());
 }
 
-std::uint32_t carrier_table::cold_share(const target_id& target,
-                                        std::uint32_t limit) const
+std::uint32_t assignment_table::cold_quota(const target_id& target,
+                                           std::uint32_t limit) const
 {
     const auto planned = static_cast<std::size_t>(limit * options_.planned);
     if (!is_first_ || planned == 0)
@@ -82,31 +82,32 @@
     return static_cast<std::uint32_t>(planned / carriers);
 }
 
-std::uint32_t carrier_table::limited_share(const target_id& target, double rate,
-                                           duration silence) const
+std::uint32_t assignment_table::limited_quota(const target_id& target,
+                                              double rate,
+                                              duration silence) const
 {
     if (!is_first_ && !is_rest_)
         return 0;
     // One request in a span finds out whether the limit is over.
-    const double each_span = std::max(rate * to_seconds(limit_span), 1.0);
+    const double each_span = std::max(rate * to_seconds(limit_window), 1.0);
     const auto planned = static_cast<std::size_t>(each_span);
     const std::size_t carriers =
         std::min(std::max(std::min(options_.carriers, planned),
-                          planned / options_.least_part),
+                          planned / options_.min_requests_per_node),
                  first_.size() + rest_.size());
     const std::size_t ahead = rank(target);
     if (ahead < carriers)
         return static_cast<std::uint32_t>(planned / carriers +
                                           (ahead < planned % carriers ? 1 : 0));
     const double spans =
-        std::max(to_seconds(silence) / to_seconds(limit_span), 0.0);
+        std::max(to_seconds(silence) / to_seconds(limit_window), 0.0);
     const auto more = static_cast<std::size_t>(each_span * spans / 4);
     return ahead < carriers + more ? 1 : 0;
 }
 
 void recent_sends::note(instant now)
 {
-    while (!sends_.empty() && now - sends_.front() > limit_span)
+    while (!sends_.empty() && now - sends_.front() > limit_window)
         sends_.pop_front();
     sends_.push_back(now);
 }
--- a/libs/dispatch/carrier_table_test.cpp
+++ b/libs/dispatch/assignment_table_test.cpp
@@ -6,7 +6,7 @@
 //   - as many carriers as the target bears requests;
 //   - one carrier, as a ration that one node hands out would have.
 
-#include "fennelladder/dispatch/carrier_table.hpp"
+#include "fennelladder/dispatch/assignment_table.hpp"
 
 #include "fennelladder/base/random.hpp"
 #include "fennelladder/testing/property.hpp"
@@ -34,19 +34,19 @@
 /// Requests in a second that all nodes together let through to one target,
 /// where node i knows views[i].
 std::uint32_t total(const hosts& all, const std::vector<hosts>& views,
-                    carrier_options options, const target_id& target)
+                    assignment_options options, const target_id& target)
 {
     std::uint32_t out = 0;
     for (std::size_t i = 0; i < all.size(); ++i) {
-        carrier_table carriers(all[i], options);
+        assignment_table carriers(all[i], options);
         carriers.set_hosts(views[i]);
-        out += carriers.cold_share(target, limit);
+        out += carriers.cold_quota(target, limit);
     }
     return out;
 }
 
 std::uint32_t most_of_targets(const hosts& all, const std::vector<hosts>& views,
-                              carrier_options options)
+                              assignment_options options)
 {
     std::uint32_t out = 0;
     for (int i = 0; i < 50; ++i)
@@ -59,9 +59,9 @@
 
 } // namespace
 
-TEST_GROUP(carrier_table){};
+TEST_GROUP(assignment_table){};
 
-TEST(carrier_table, nodes_that_agree_stay_below_the_limit_and_starve_nobody)
+TEST(assignment_table, nodes_that_agree_stay_below_the_limit_and_starve_nobody)
 {
     for (const std::size_t n : sizes) {
         const hosts all = fleet(n);
@@ -77,7 +77,7 @@
 
 // Guards against a cold target that gets the load of all nodes, each of which
 // believes that it is among its carriers since it heard late of some hosts.
-TEST(carrier_table, late_views_stay_below_the_limit)
+TEST(assignment_table, late_views_stay_below_the_limit)
 {
     random_source random(7);
     for (const std::size_t n : sizes) {
@@ -97,15 +97,15 @@
 // Guards against a node that is cut off, hears nobody and so ranks first for
 // every target: hosts known for long are counted, and one that knows of none
 // carries nothing.
-TEST(carrier_table, a_node_that_knows_nobody_carries_nothing)
+TEST(assignment_table, a_node_that_knows_nobody_carries_nothing)
 {
-    carrier_table carriers(host_id("host-0"), {});
+    assignment_table carriers(host_id("host-0"), {});
     carriers.set_hosts({});
-    UNSIGNED_LONGS_EQUAL(0, carriers.cold_share(target_id("i-1"), limit));
+    UNSIGNED_LONGS_EQUAL(0, carriers.cold_quota(target_id("i-1"), limit));
 }
 
 // Guards against halves of a fleet that each choose carriers of their own.
-TEST(carrier_table, halves_that_remember_each_other_stay_below_the_limit)
+TEST(assignment_table, halves_that_remember_each_other_stay_below_the_limit)
 {
     const hosts all = fleet(77);
     const std::vector<hosts> remembered(all.size(), all);
@@ -121,27 +121,27 @@
     // bears, whether each target has one carrier or as many as it bears.
     for (const std::size_t carriers :
          {std::size_t(1), std::size_t(3), std::size_t(12)}) {
-        carrier_options by_heard;
+        assignment_options by_heard;
         by_heard.carriers = carriers;
         CHECK(most_of_targets(all, heard, by_heard) > limit);
     }
 }
 
 // With one carrier for each, a target is starved where that host is gone.
-TEST(carrier_table, the_loss_of_some_hosts_starves_few_targets)
+TEST(assignment_table, the_loss_of_some_hosts_starves_few_targets)
 {
     const hosts all = fleet(77);
     const auto starved = [&](std::size_t carriers) {
-        carrier_options options;
+        assignment_options options;
         options.carriers = carriers;
         int out = 0;
         for (int i = 0; i < 200; ++i) {
             std::uint32_t sum = 0;
             for (std::size_t j = all.size() / 3; j < all.size(); ++j) {
-                carrier_table one(all[j], options);
+                assignment_table one(all[j], options);
                 one.set_hosts(all);
                 sum +=
-                    one.cold_share(target_id("i-" + std::to_string(i)), limit);
+                    one.cold_quota(target_id("i-" + std::to_string(i)), limit);
             }
             out += sum == 0;
         }
@@ -151,34 +151,35 @@
     CHECK(starved(1) > 40);
 }
 
-TEST(carrier_table, a_small_limit_is_carried_by_few)
+TEST(assignment_table, a_small_limit_is_carried_by_few)
 {
-    carrier_table alone(host_id("host-0"), {});
+    assignment_table alone(host_id("host-0"), {});
     alone.set_hosts(fleet(1));
-    UNSIGNED_LONGS_EQUAL(0, alone.cold_share(target_id("i-1"), 0));
-    UNSIGNED_LONGS_EQUAL(1, alone.cold_share(target_id("i-1"), 2));
+    UNSIGNED_LONGS_EQUAL(0, alone.cold_quota(target_id("i-1"), 0));
+    UNSIGNED_LONGS_EQUAL(1, alone.cold_quota(target_id("i-1"), 2));
     const hosts all = fleet(8);
     const std::vector<hosts> views(all.size(), all);
     UNSIGNED_LONGS_EQUAL(2, total(all, views, {}, target_id("i-1")) / 6);
 }
 
-TEST(carrier_table, sends_count_for_a_span)
+TEST(assignment_table, sends_count_for_a_span)
 {
     const instant start(seconds(100));
     recent_sends sends;
     sends.note(start);
     sends.note(start + milliseconds(400));
-    UNSIGNED_LONGS_EQUAL(2, sends.count(start + seconds(1), cold_span));
-    UNSIGNED_LONGS_EQUAL(1, sends.count(start + milliseconds(1001), cold_span));
+    UNSIGNED_LONGS_EQUAL(2, sends.count(start + seconds(1), cold_window));
+    UNSIGNED_LONGS_EQUAL(1,
+                         sends.count(start + milliseconds(1001), cold_window));
     sends.note(start + seconds(3));
-    UNSIGNED_LONGS_EQUAL(1, sends.count(start + seconds(3), cold_span));
-    UNSIGNED_LONGS_EQUAL(3, sends.count(start + seconds(3), limit_span));
-    UNSIGNED_LONGS_EQUAL(1, sends.count(start + seconds(5), limit_span));
+    UNSIGNED_LONGS_EQUAL(1, sends.count(start + seconds(3), cold_window));
+    UNSIGNED_LONGS_EQUAL(3, sends.count(start + seconds(3), limit_window));
+    UNSIGNED_LONGS_EQUAL(1, sends.count(start + seconds(5), limit_window));
 }
 
 // Guards against a limit that is never found to be over, since the first hosts
 // are dead or have no callers.
-TEST(carrier_table, while_nobody_hears_of_a_limit_more_hosts_carry)
+TEST(assignment_table, while_nobody_hears_of_a_limit_more_hosts_carry)
 {
     const hosts all = fleet(40);
     const hosts first(all.begin(), all.begin() + 10);
@@ -186,9 +187,9 @@
     const auto sent = [&](duration silence) {
         std::uint32_t out = 0;
         for (const host_id& it : all) {
-            carrier_table one(it, {});
+            assignment_table one(it, {});
             one.set_hosts(first, rest);
-            out += one.limited_share(target_id("i-1"), 1, silence);
+            out += one.limited_quota(target_id("i-1"), 1, silence);
         }
         return out;
     };
@@ -199,15 +200,15 @@
     UNSIGNED_LONGS_EQUAL(34, sent(seconds(120)));
 }
 
-TEST(carrier_table, all_that_a_limit_allows_is_shared_out)
+TEST(assignment_table, all_that_a_limit_allows_is_shared_out)
 {
     const hosts all = fleet(8);
     const auto share = [&](double rate) {
         std::uint32_t out = 0;
         for (const host_id& it : all) {
-            carrier_table one(it, {});
+            assignment_table one(it, {});
             one.set_hosts(all);
-            out += one.limited_share(target_id("i-1"), rate, seconds(0));
+            out += one.limited_quota(target_id("i-1"), rate, seconds(0));
         }
         return out;
     };
@@ -221,27 +222,27 @@
 
 // Guards against nodes that refuse all their callers while others have room,
 // where the few targets of a service all name limits.
-TEST(carrier_table, a_limit_that_has_room_for_all_is_carried_by_all)
+TEST(assignment_table, a_limit_that_has_room_for_all_is_carried_by_all)
 {
     for (const host_id& it : fleet(8)) {
-        carrier_table one(it, {});
+        assignment_table one(it, {});
         one.set_hosts(fleet(8));
-        CHECK(one.limited_share(target_id("i-1"), 5, seconds(0)) > 0);
+        CHECK(one.limited_quota(target_id("i-1"), 5, seconds(0)) > 0);
     }
 }
 
 // Guards against a rank that was kept from before other hosts were known.
-TEST(carrier_table, other_hosts_change_the_carriers)
+TEST(assignment_table, other_hosts_change_the_carriers)
 {
-    carrier_table one(host_id("host-0"), {});
+    assignment_table one(host_id("host-0"), {});
     one.set_hosts(fleet(1));
-    CHECK(one.cold_share(target_id("i-1"), limit) > 0);
+    CHECK(one.cold_quota(target_id("i-1"), limit) > 0);
     int carried = 0;
     for (std::size_t n = 1; n <= 100; n += 33) {
         one.set_hosts(fleet(n));
-        carried += one.cold_share(target_id("i-1"), limit) > 0 ? 1 : 0;
+        carried += one.cold_quota(target_id("i-1"), limit) > 0 ? 1 : 0;
     }
     CHECK(carried < 4);
     one.set_hosts({});
-    UNSIGNED_LONGS_EQUAL(0, one.cold_share(target_id("i-1"), limit));
+    UNSIGNED_LONGS_EQUAL(0, one.cold_quota(target_id("i-1"), limit));
 }
--- a/libs/dispatch/attempt_policy.cpp
+++ b/libs/dispatch/attempt_policy.cpp
@@ -6,26 +6,26 @@
 
 namespace {
 
-bool may_repeat(const course& so_far)
+bool may_repeat(const request_state& so_far)
 {
     return so_far.way->repeats == catalog::repeat_rule::idempotent;
 }
 
 /// A stream of which the caller has a part goes on only where it may.
-bool may_go_on(const course& so_far)
+bool may_go_on(const request_state& so_far)
 {
     return !so_far.head_passed_on ||
            (so_far.way->resumable && !so_far.part_stands_alone);
 }
 
-bool has_room(const course& so_far, attempt_end ended,
+bool has_room(const request_state& so_far, attempt_end ended,
               const attempt_policy_options& options)
 {
-    if (so_far.time_left < options.least_time)
+    if (so_far.time_left < options.min_time_left)
         return false;
     if (ended == attempt_end::not_connected)
-        return so_far.failed_connects < options.most_failed_connects;
-    return so_far.sent < options.most_sends;
+        return so_far.failed_connects < options.max_failed_connects;
+    return so_far.sent < options.max_sends;
 }
 
 } // namespace
@@ -84,7 +84,7 @@
     return "unknown";
 }
 
-next_action give_up(const course& so_far, attempt_end ended)
+next_action give_up(const request_state& so_far, attempt_end ended)
 {
     if (so_far.head_passed_on)
         return next_action::cut;
@@ -96,7 +96,7 @@
                                     : next_action::say_unknown;
 }
 
-next_step decide_next(const course& so_far, attempt_end ended,
+next_step decide_next(const request_state& so_far, attempt_end ended,
                       const attempt_policy_options& options)
 {
     assert(so_far.way != nullptr);
--- a/libs/dispatch/attempt_policy_test.cpp
+++ b/libs/dispatch/attempt_policy_test.cpp
@@ -35,10 +35,10 @@
 }
 
 /// Follows the policy through every sequence of ends.
-void walk(const course& so_far, int depth, int& checked)
+void walk(const request_state& so_far, int depth, int& checked)
 {
     for (const attempt_end ended : ends) {
-        course now = so_far;
+        request_state now = so_far;
         if (ended != attempt_end::not_connected)
             ++now.sent;
         else
@@ -75,7 +75,7 @@
             for (const bool begun : {false, true})
                 for (const bool resumable : {false, true}) {
                     const catalog::route on = way(rule, most, resumable);
-                    course start;
+                    request_state start;
                     start.way = &on;
                     start.time_left = seconds(10);
                     start.head_passed_on = begun;
@@ -89,7 +89,7 @@
 TEST(attempt_policy, a_broken_ticket_is_unknown)
 {
     const auto on = way(catalog::repeat_rule::at_most_once, 3, false);
-    course so_far;
+    request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
     so_far.may_have_run = 1;
@@ -101,7 +101,7 @@
 TEST(attempt_policy, a_rejected_ticket_goes_to_another_target)
 {
     const auto on = way(catalog::repeat_rule::at_most_once, 1, false);
-    course so_far;
+    request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
     so_far.rejections = 1;
@@ -114,7 +114,7 @@
 TEST(attempt_policy, a_stream_that_may_not_resume_is_cut)
 {
     const auto on = way(catalog::repeat_rule::at_most_once, 2, false);
-    course so_far;
+    request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
     so_far.may_have_run = 1;
@@ -127,7 +127,7 @@
 TEST(attempt_policy, without_time_nothing_is_tried)
 {
     const auto on = way(catalog::repeat_rule::idempotent, 3, false);
-    course so_far;
+    request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
     so_far.may_have_run = 1;
--- a/libs/dispatch/limited_target_test.cpp
+++ b/libs/dispatch/limited_target_test.cpp
@@ -5,7 +5,7 @@
 #include "sample_targets.hpp"
 
 #include "fennelladder/base/random.hpp"
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -97,17 +97,17 @@
 private:
     struct node
     {
-        target_book book;
+        target_registry book;
         double told = 1e9; ///< When it first got an answer with the limit.
     };
 
     node make(std::size_t n, std::vector<host_id> known) const
     {
-        target_book_options options;
+        target_registry_options options;
         options.self = host(n);
-        node out{target_book(options)};
+        node out{target_registry(options)};
         out.book.sync({{needy, sample_engine(1, 24)}}, false, start);
-        out.book.set_carrier_hosts(std::move(known));
+        out.book.set_assignable_hosts(std::move(known));
         return out;
     }
 
@@ -120,7 +120,7 @@
         next_words_s_ = now_ + words_period_s;
         for (const auto& words : words_)
             for (node& it : nodes_)
-                it.book.peer_limits(words, words_at_);
+                it.book.merge_peer_limits(words, words_at_);
         words_.clear();
         words_at_ = at();
         for (const node& it : nodes_)
@@ -129,7 +129,7 @@
 
     void send(node& by, random_source& random)
     {
-        work_wish wish;
+        routing_request wish;
         wish.service = llm;
         const auto made = by.book.choose(wish, at(), random);
         if (!made)
@@ -159,7 +159,7 @@
     fleet_options options_;
     std::vector<host_id> hosts_;
     std::vector<node> nodes_;
-    std::vector<std::vector<limit_word>> words_; ///< Under way.
+    std::vector<std::vector<limit_signal>> words_; ///< Under way.
     instant words_at_;
     double next_words_s_ = 0;
     double now_ = 0;
@@ -232,15 +232,15 @@
 // Guards against a word that is older than the last and brings a limit back.
 TEST(limited_target, an_older_word_changes_nothing)
 {
-    target_book book({.self = host(0)});
+    target_registry book({.self = host(0)});
     book.sync({{needy, sample_engine(1, 24)}}, false, start);
     const auto note = [&](std::optional<double> rate, instant at) {
         return book.note_signals({needy, {}}, signals_of(rate), at).rate_limit;
     };
     CHECK(note(1.0, start));
     CHECK(note(std::nullopt, start + seconds(2)));
-    const limit_word late{needy, {}, 1.0, seconds(1)};
-    CHECK(book.peer_limits({late}, start + seconds(2)).empty());
-    UNSIGNED_LONGS_EQUAL(1,
-                         book.peer_limits({late}, start + seconds(4)).size());
+    const limit_signal late{needy, {}, 1.0, seconds(1)};
+    CHECK(book.merge_peer_limits({late}, start + seconds(2)).empty());
+    UNSIGNED_LONGS_EQUAL(
+        1, book.merge_peer_limits({late}, start + seconds(4)).size());
 }
--- a/libs/dispatch/poison_list.cpp
+++ b/libs/dispatch/poison_list.cpp
@@ -7,27 +7,28 @@
 
 namespace fennelladder::dispatch {
 
-request_mark mark_of(std::string_view method, std::string_view path,
-                     const team_id& team, std::string_view body)
+request_fingerprint fingerprint_of(std::string_view method,
+                                   std::string_view path, const team_id& team,
+                                   std::string_view body)
 {
     std::uint64_t out = hash64(method);
     out = hash64(path, out);
     out = hash64(team.str(), out);
-    return request_mark(hash64(body, out));
+    return request_fingerprint(hash64(body, out));
 }
 
 poison_list::poison_list(poison_list_options options) : options_(options)
 {}
 
-bool poison_list::is_poison(request_mark mark, instant now) const
+bool poison_list::is_poison(request_fingerprint mark, instant now) const
 {
     const auto it = entries_.find(mark);
     return it != entries_.end() &&
            it->second.deaths.size() >= options_.deaths &&
-           now - it->second.last < options_.memory;
+           now - it->second.last < options_.retention;
 }
 
-bool poison_list::note_death(request_mark mark,
+bool poison_list::note_death(request_fingerprint mark,
                              const catalog::target_process& target, instant now)
 {
     entry& it = entries_[mark];
@@ -59,13 +60,13 @@
 
 void poison_list::forget(instant now)
 {
-    if (entries_.size() <= options_.most_records)
+    if (entries_.size() <= options_.max_records)
         return;
     std::erase_if(entries_, [&](const auto& it) {
-        return now - it.second.last >= options_.memory;
+        return now - it.second.last >= options_.retention;
     });
     // Still full: those with one death are the least worth keeping.
-    if (entries_.size() > options_.most_records)
+    if (entries_.size() > options_.max_records)
         std::erase_if(entries_, [&](const auto& it) {
             return it.second.deaths.size() < options_.deaths;
         });
--- a/libs/dispatch/poison_list_test.cpp
+++ b/libs/dispatch/poison_list_test.cpp
@@ -8,7 +8,8 @@
 namespace {
 
 constexpr instant start = instant(seconds(100));
-const request_mark bad = mark_of("POST", "/a", team_id("t"), "crash");
+const request_fingerprint bad =
+    fingerprint_of("POST", "/a", team_id("t"), "crash");
 
 } // namespace
 
@@ -19,17 +20,17 @@
 
 TEST(poison_list, a_mark_is_of_what_is_sent_again)
 {
-    CHECK(bad == mark_of("POST", "/a", team_id("t"), "crash"));
-    CHECK(bad != mark_of("POST", "/b", team_id("t"), "crash"));
-    CHECK(bad != mark_of("POST", "/a", team_id("u"), "crash"));
-    CHECK(bad != mark_of("POST", "/a", team_id("t"), "other"));
+    CHECK(bad == fingerprint_of("POST", "/a", team_id("t"), "crash"));
+    CHECK(bad != fingerprint_of("POST", "/b", team_id("t"), "crash"));
+    CHECK(bad != fingerprint_of("POST", "/a", team_id("u"), "crash"));
+    CHECK(bad != fingerprint_of("POST", "/a", team_id("t"), "other"));
 }
 
 // Story: two targets die under a request. A third never sees it; a request
 // that ran beside it at the first is served on.
 TEST(poison_list, two_deaths_condemn_and_one_does_not)
 {
-    const request_mark beside(7);
+    const request_fingerprint beside(7);
     list.note_death(bad, {target_id("a")}, start);
     list.note_death(beside, {target_id("a")}, start);
     CHECK(!list.is_poison(bad, start));
--- a/libs/dispatch/restricted_targets_test.cpp
+++ b/libs/dispatch/restricted_targets_test.cpp
@@ -3,7 +3,7 @@
 
 #include "sample_targets.hpp"
 
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <map>
@@ -36,9 +36,9 @@
     return out;
 }
 
-work_wish small_prompt(std::uint64_t part)
+routing_request small_prompt(std::uint64_t part)
 {
-    work_wish out;
+    routing_request out;
     out.service = service_id("llm");
     out.on_engine = true;
     out.prompt = {{part, 200}, {part * 1000 + 7, 600}};
@@ -47,9 +47,9 @@
     return out;
 }
 
-target_book_options options_of(const char* self)
+target_registry_options options_of(const char* self)
 {
-    target_book_options out;
+    target_registry_options out;
     out.self = host_id(self);
     out.own_data_center = place(0);
     out.regions = {{place(0), region_id("r")},
@@ -62,9 +62,9 @@
 
 TEST_GROUP(restricted_targets)
 {
-    target_book book{options_of("a")};
+    target_registry book{options_of("a")};
     random_source random{1};
-    work_wish wish = small_prompt(5);
+    routing_request wish = small_prompt(5);
     std::uint64_t last_part = 100; ///< Of the prompts sent.
 
     void setup() override
@@ -74,7 +74,7 @@
 
     void traits()
     {
-        book.set_cold_traits({{service_id("llm"), {cold_for, limit}}});
+        book.set_cold_start_profiles({{service_id("llm"), {cold_for, limit}}});
     }
 
     data_center_id chosen_place(instant now = start)
@@ -84,12 +84,12 @@
     }
 
     /// Sends through `by` for a second; how many requests each target got.
-    std::map<target_id, int> send(target_book & by, int n, instant from)
+    std::map<target_id, int> send(target_registry & by, int n, instant from)
     {
         std::map<target_id, int> out;
         for (int i = 0; i < n; ++i) {
             const instant now = from + i * seconds(1) / n;
-            const work_wish one = small_prompt(++last_part);
+            const routing_request one = small_prompt(++last_part);
             const auto made = by.choose(one, now, random);
             if (!made)
                 continue;
@@ -105,8 +105,9 @@
     {
         const catalog::target_process process{
             target_id("i-" + std::to_string(i)), {}};
-        book.learned(process, target_evidence::unreachable, now);
-        book.learned(process, target_evidence::answered, now + seconds(1));
+        book.note_evidence(process, target_evidence::unreachable, now);
+        book.note_evidence(process, target_evidence::answered,
+                           now + seconds(1));
     }
 };
 
@@ -125,7 +126,7 @@
 {
     book.set_evacuated({place(0), place(1), place(2)}, start);
     CHECK(!book.choose(wish, start, random).has_value());
-    CHECK(book.why_none(wish, start) == absence::evacuated);
+    CHECK(book.why_no_target(wish, start) == no_target_reason::evacuated);
     book.set_evacuated({}, start);
     CHECK(book.choose(wish, start, random).has_value());
 }
@@ -137,7 +138,7 @@
     book.sync({}, true, start);
     const instant later = start + seconds(10);
     CHECK(!book.choose(wish, later, random).has_value());
-    CHECK(book.why_none(wish, later) == absence::none_usable);
+    CHECK(book.why_no_target(wish, later) == no_target_reason::none_usable);
 }
 
 TEST(restricted_targets, an_evacuation_of_an_unknown_place_changes_nothing)
@@ -161,7 +162,7 @@
     CHECK(chosen_place() == place(2));
     wish.regions = std::vector<region_id>();
     CHECK(chosen_place() == data_center_id());
-    CHECK(book.why_none(wish, start) == absence::outside);
+    CHECK(book.why_no_target(wish, start) == no_target_reason::outside_regions);
 }
 
 // Guards against a target of which nobody knows the region.
@@ -179,7 +180,7 @@
 TEST(restricted_targets, a_cold_target_gets_its_share_in_any_second)
 {
     traits();
-    book.set_carrier_hosts({host_id("a")});
+    book.set_assignable_hosts({host_id("a")});
     auto listed = targets(2, 1);
     listed.at(target_id("i-0")).warm_up_left = cold_for;
     book.sync(listed, false, start);
@@ -194,13 +195,13 @@
 TEST(restricted_targets, nodes_that_dont_carry_it_send_a_cold_target_nothing)
 {
     traits();
-    book.set_carrier_hosts({});
+    book.set_assignable_hosts({});
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
         entry.warm_up_left = cold_for;
     book.sync(listed, false, start);
     CHECK(!book.choose(wish, start, random).has_value());
-    CHECK(book.why_none(wish, start) == absence::cold);
+    CHECK(book.why_no_target(wish, start) == no_target_reason::cold);
     CHECK(book.choose(wish, start + cold_for, random).has_value());
 }
 
@@ -239,7 +240,7 @@
 TEST(restricted_targets, a_target_that_is_back_gets_one_request_a_second)
 {
     traits();
-    book.set_carrier_hosts({host_id("a")});
+    book.set_assignable_hosts({host_id("a")});
     book.sync(targets(1, 1), false, start);
     back_after_a_rest(0, start);
     const auto got = send(book, 500, start + seconds(1));
@@ -258,12 +259,12 @@
     const catalog::target_process back{target_id("i-0"), {}};
     int got = 0;
     for (const host_id& it : hosts) {
-        target_book one(options_of(it.str().c_str()));
-        one.set_cold_traits({{service_id("llm"), {cold_for, limit}}});
-        one.set_carrier_hosts(hosts);
+        target_registry one(options_of(it.str().c_str()));
+        one.set_cold_start_profiles({{service_id("llm"), {cold_for, limit}}});
+        one.set_assignable_hosts(hosts);
         one.sync(targets(1, 1), false, start);
-        one.learned(back, target_evidence::unreachable, start);
-        one.learned(back, target_evidence::answered, start + seconds(1));
+        one.note_evidence(back, target_evidence::unreachable, start);
+        one.note_evidence(back, target_evidence::answered, start + seconds(1));
         for (const auto& [target, n] : send(one, 10, start + seconds(1)))
             got += n;
     }
@@ -282,11 +283,11 @@
     std::map<target_id, int> got;
     int sent = 0;
     for (const host_id& it : large) {
-        target_book_options options = options_of(it.str().c_str());
+        target_registry_options options = options_of(it.str().c_str());
         options.regions.clear();
-        target_book one(options);
-        one.set_cold_traits({{service_id("llm"), {cold_for, limit}}});
-        one.set_carrier_hosts(large);
+        target_registry one(options);
+        one.set_cold_start_profiles({{service_id("llm"), {cold_for, limit}}});
+        one.set_assignable_hosts(large);
         one.sync(listed, false, start);
         one.set_evacuated({place(0)}, start);
         one.set_evacuated({}, start + seconds(1));
--- a/libs/dispatch/retry_allowance.cpp
+++ b/libs/dispatch/retry_budget.cpp
@@ -1,33 +1,32 @@
 // Time is cut into slices of a twentieth of the window. A slice counts only
 // while all of it lies in the window, so that rounding never allows too much.
 
-#include "fennelladder/dispatch/retry_allowance.hpp"
+#include "fennelladder/dispatch/retry_budget.hpp"
 
 #include <algorithm>
 
 namespace fennelladder::dispatch {
 
-retry_allowance::retry_allowance(retry_allowance_options options)
-    : options_(options)
+retry_budget::retry_budget(retry_budget_options options) : options_(options)
 {}
 
 /// This node's part of the slack of one window.
-double retry_allowance::own_slack() const
+double retry_budget::own_slack() const
 {
     return hosts_ == 0 ? 0 : options_.slack / static_cast<double>(hosts_);
 }
 
-double retry_allowance::most_saved(const account& it) const
+double retry_budget::most_saved(const account& it) const
 {
     int requests = 0;
     for (const slice& one : it.slices)
         requests += one.requests;
-    return options_.caution * options_.saved *
+    return options_.safety_factor * options_.saved *
            (options_.share * requests + own_slack());
 }
 
 /// Earns the slack since the last time and drops what is too old to be saved.
-void retry_allowance::settle(account& it, instant now) const
+void retry_budget::settle(account& it, instant now) const
 {
     while (!it.slices.empty() &&
            now - it.slices.front().start > options_.window)
@@ -35,13 +34,13 @@
     const double windows = std::max(
         to_seconds(now - it.settled) / to_seconds(options_.window), 0.0);
     it.balance +=
-        options_.caution * (1 - options_.saved) * own_slack() * windows;
+        options_.safety_factor * (1 - options_.saved) * own_slack() * windows;
     it.balance = std::min(it.balance, most_saved(it));
     it.settled = now;
 }
 
-retry_allowance::account& retry_allowance::account_of(const service_id& service,
-                                                      instant now)
+retry_budget::account& retry_budget::account_of(const service_id& service,
+                                                instant now)
 {
     const auto [it, is_new] = accounts_.try_emplace(service);
     if (is_new)
@@ -50,7 +49,7 @@
     return it->second;
 }
 
-void retry_allowance::set_hosts(std::size_t hosts, instant now)
+void retry_budget::set_hosts(std::size_t hosts, instant now)
 {
     if (hosts == hosts_)
         return;
@@ -61,23 +60,24 @@
     hosts_ = hosts;
 }
 
-double retry_allowance::left(const service_id& service, instant now)
+double retry_budget::left(const service_id& service, instant now)
 {
     return account_of(service, now).balance;
 }
 
-void retry_allowance::count_request(const service_id& service, instant now)
+void retry_budget::count_request(const service_id& service, instant now)
 {
     account& it = account_of(service, now);
     const duration length = options_.window / slices_per_window;
     if (it.slices.empty() || now - it.slices.back().start >= length)
         it.slices.push_back({now, 0});
     ++it.slices.back().requests;
-    it.balance += options_.caution * (1 - options_.saved) * options_.share;
+    it.balance +=
+        options_.safety_factor * (1 - options_.saved) * options_.share;
     it.balance = std::min(it.balance, most_saved(it));
 }
 
-bool retry_allowance::take_retry(const service_id& service, instant now)
+bool retry_budget::take_retry(const service_id& service, instant now)
 {
     account& it = account_of(service, now);
     if (it.balance < 1)
--- a/libs/dispatch/retry_allowance_test.cpp
+++ b/libs/dispatch/retry_budget_test.cpp
@@ -1,5 +1,5 @@
 #include "fennelladder/base/random.hpp"
-#include "fennelladder/dispatch/retry_allowance.hpp"
+#include "fennelladder/dispatch/retry_budget.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <vector>
@@ -14,19 +14,19 @@
 
 } // namespace
 
-TEST_GROUP(retry_allowance){};
+TEST_GROUP(retry_budget){};
 
 // Slow oracle: random traffic at four nodes that hear nothing of each other;
 // every window is counted by hand against the operator's limit.
-TEST(retry_allowance, the_sum_over_all_nodes_keeps_the_limit)
+TEST(retry_budget, the_sum_over_all_nodes_keeps_the_limit)
 {
     constexpr std::size_t nodes = 4;
-    const retry_allowance_options options{
+    const retry_budget_options options{
         .share = 0.2, .slack = 40, .window = seconds(10)};
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
         random_source random(seed);
-        std::vector<retry_allowance> all(nodes, retry_allowance(options));
-        for (retry_allowance& it : all)
+        std::vector<retry_budget> all(nodes, retry_budget(options));
+        for (retry_budget& it : all)
             it.set_hosts(nodes, start);
         std::vector<double> requests;
         std::vector<double> retries;
@@ -34,7 +34,7 @@
         for (int i = 0; i < 4000; ++i) {
             now += random.exponential(i % 1000 < 500 ? 0.005 : 0.05);
             const instant at = start + from_seconds(now);
-            retry_allowance& it = all[random.below(nodes)];
+            retry_budget& it = all[random.below(nodes)];
             it.count_request(desk, at);
             requests.push_back(now);
             for (int k = 0; k < 3; ++k)
@@ -57,13 +57,13 @@
     }
 }
 
-TEST(retry_allowance, the_slack_is_shared)
+TEST(retry_budget, the_slack_is_shared)
 {
-    const retry_allowance_options options{
-        .share = 0, .slack = 40, .window = seconds(10), .caution = 1};
+    const retry_budget_options options{
+        .share = 0, .slack = 40, .window = seconds(10), .safety_factor = 1};
     // One window saves up half, another brings half: all of them together.
     const auto taken_by = [&](std::size_t hosts) {
-        retry_allowance it(options);
+        retry_budget it(options);
         it.set_hosts(hosts, start);
         int out = 0;
         for (int i = 0; i <= 100; ++i) {
@@ -77,18 +77,18 @@
     CHECK_EQUAL(5, taken_by(8));
 }
 
-TEST(retry_allowance, no_more_than_a_window_is_saved_up)
+TEST(retry_budget, no_more_than_a_window_is_saved_up)
 {
-    retry_allowance it(
-        {.share = 0, .slack = 4, .window = seconds(10), .caution = 1});
+    retry_budget it(
+        {.share = 0, .slack = 4, .window = seconds(10), .safety_factor = 1});
     it.set_hosts(1, start);
     DOUBLES_EQUAL(2, it.left(desk, start + seconds(100)), 1e-9);
 }
 
-TEST(retry_allowance, requests_are_forgotten_after_a_window)
+TEST(retry_budget, requests_are_forgotten_after_a_window)
 {
-    retry_allowance it(
-        {.share = 0.2, .slack = 0, .window = seconds(10), .caution = 1});
+    retry_budget it(
+        {.share = 0.2, .slack = 0, .window = seconds(10), .safety_factor = 1});
     for (int i = 0; i < 100; ++i)
         it.count_request(desk, start);
     DOUBLES_EQUAL(10, it.left(desk, start + seconds(9)), 1e-9);
@@ -96,9 +96,9 @@
 }
 
 // Guards against a node that knows nobody and takes the whole slack.
-TEST(retry_allowance, without_known_hosts_there_is_no_slack)
+TEST(retry_budget, without_known_hosts_there_is_no_slack)
 {
-    retry_allowance it({});
+    retry_budget it({});
     DOUBLES_EQUAL(0, it.left(desk, start + seconds(100)), 1e-9);
     it.set_hosts(8, start + seconds(100));
     CHECK(!it.take_retry(desk, start + seconds(100)));
@@ -107,10 +107,10 @@
 
 // Guards against a calm time whose allowance is spent at once and earned again
 // within the same window.
-TEST(retry_allowance, a_burst_leaves_half_of_a_window)
+TEST(retry_budget, a_burst_leaves_half_of_a_window)
 {
-    retry_allowance it(
-        {.share = 0.2, .slack = 0, .window = seconds(10), .caution = 1});
+    retry_budget it(
+        {.share = 0.2, .slack = 0, .window = seconds(10), .safety_factor = 1});
     int taken = 0;
     for (int i = 0; i < 2000; ++i) {
         const instant now = start + i * milliseconds(10);
--- a/libs/dispatch/retry_fleet_test.cpp
+++ b/libs/dispatch/retry_fleet_test.cpp
@@ -3,7 +3,7 @@
 // counted by hand.
 
 #include "fennelladder/base/random.hpp"
-#include "fennelladder/dispatch/retry_allowance.hpp"
+#include "fennelladder/dispatch/retry_budget.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -25,7 +25,7 @@
 {
     std::size_t nodes = 8;
     double requests_per_second = 92;
-    retry_allowance_options retries{
+    retry_budget_options retries{
         .share = 0.2, .slack = 56, .window = seconds(10)};
 };
 
@@ -79,11 +79,11 @@
 private:
     struct node
     {
-        retry_allowance retries;
+        retry_budget retries;
         double started = -1e9;
         std::size_t known = 0; ///< Hosts that it counts; 0: all.
 
-        node(retry_allowance_options options, double at = -1e9)
+        node(retry_budget_options options, double at = -1e9)
             : retries(options), started(at)
         {}
     };
--- a/libs/dispatch/signal_state.cpp
+++ b/libs/dispatch/signal_state.cpp
@@ -25,11 +25,12 @@
 
 } // namespace
 
-signal_news signal_state::take(const catalog::target_signals& said, instant now)
+signal_changes signal_state::take(const catalog::target_signals& said,
+                                  instant now)
 {
-    signal_news out;
+    signal_changes out;
     if (said.leaving) {
-        out.leaving = take_peers_leaving(now);
+        out.leaving = apply_peer_leaving(now);
         if (own_leaving_heard_ == instant())
             own_leaving_heard_ = now;
     }
@@ -38,24 +39,24 @@
         out.rest = true;
     }
     if (said.cold_left)
-        cool_until(now + *said.cold_left);
+        extend_cold_until(now + *said.cold_left);
     if (said.rate_limit || said.is_latest) {
         own_rate_ = said.rate_limit;
         own_said_ = now;
         if (own_rate_)
             own_named_ = now;
-        out.rate_limit = take_peers_limit(own_rate_, now);
+        out.rate_limit = apply_peer_limit(own_rate_, now);
     }
     return out;
 }
 
-bool signal_state::take_peers_leaving(instant now)
+bool signal_state::apply_peer_leaving(instant now)
 {
     leaving_heard_ = now;
     return !std::exchange(leaving_, true);
 }
 
-bool signal_state::take_peers_limit(std::optional<double> rate, instant at)
+bool signal_state::apply_peer_limit(std::optional<double> rate, instant at)
 {
     if (at < limit_said_)
         return false;
@@ -63,7 +64,7 @@
     return std::exchange(rate_limit_, rate) != rate;
 }
 
-void signal_state::cool_until(instant until)
+void signal_state::extend_cold_until(instant until)
 {
     cold_until_ = std::max(cold_until_, until);
 }
@@ -75,14 +76,14 @@
 
 std::optional<double> signal_state::rate_limit(instant now) const
 {
-    return limit_silence(now) > limit_memory ? std::nullopt : rate_limit_;
+    return limit_signal_age(now) > limit_memory ? std::nullopt : rate_limit_;
 }
 
-std::optional<rate_word> signal_state::limit_for_peers(instant now) const
+std::optional<rate_signal> signal_state::limit_for_peers(instant now) const
 {
     if (!is_within(own_named_, news_span, now))
         return std::nullopt;
-    return rate_word{own_rate_, now - own_said_};
+    return rate_signal{own_rate_, now - own_said_};
 }
 
 std::optional<duration> signal_state::leaving_for_peers(instant now) const
--- a/libs/dispatch/target_choice.cpp
+++ b/libs/dispatch/target_choice.cpp
@@ -1,6 +1,6 @@
-// The part of target_book that compares targets for one request.
+// The part of target_registry that compares targets for one request.
 
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include "fennelladder/base/hash.hpp"
 
@@ -30,7 +30,7 @@
 
 } // namespace
 
-std::optional<std::uint64_t> meeting_part(std::span<const shared_part> prompt)
+std::optional<std::uint64_t> affinity_part(std::span<const shared_part> prompt)
 {
     if (prompt.empty())
         return std::nullopt;
@@ -39,15 +39,16 @@
 
 /// Tokens of the prompt that the target holds. A part counts only if all parts
 /// before it are held.
-std::uint32_t target_book::held(const target_state& it, const work_wish& wish,
-                                bool expected_here, instant now) const
+std::uint32_t target_registry::held(const target_state& it,
+                                    const routing_request& wish,
+                                    bool expected_here, instant now) const
 {
     std::uint32_t out = 0;
     for (std::size_t i = 0; i < wish.prompt.size(); ++i) {
         const bool own = i + 1 == wish.prompt.size() && i > 0;
         const auto known = it.parts.find(wish.prompt[i].id);
         const bool used = known != it.parts.end() &&
-                          now - known->second < options_.part_memory;
+                          now - known->second < options_.part_retention;
         if (!used && (own || !expected_here))
             break;
         out += wish.prompt[i].size;
@@ -56,14 +57,14 @@
 }
 
 /// Where all nodes expect the shared parts of the prompt.
-const target_book::target_state*
-target_book::expected_holder(const std::vector<target_state*>& candidates,
-                             const work_wish& wish, instant now) const
+const target_registry::target_state*
+target_registry::expected_holder(const std::vector<target_state*>& candidates,
+                                 const routing_request& wish, instant now) const
 {
-    const auto part = meeting_part(wish.prompt);
+    const auto part = affinity_part(wish.prompt);
     const target_state* out = nullptr;
     std::uint64_t best = 0;
-    if (!part || !options_.expects_parts)
+    if (!part || !options_.predicts_part_holders)
         return out;
     for (const target_state* it : candidates) {
         const std::uint64_t rank = weight(*part, it->entry.id);
@@ -75,43 +76,45 @@
     return out;
 }
 
-double target_book::predicted_seconds(const target_state& it,
-                                      const work_wish& wish,
-                                      std::uint32_t reading) const
+double target_registry::predicted_seconds(const target_state& it,
+                                          const routing_request& wish,
+                                          std::uint32_t reading) const
 {
     const int running = it.running + it.peers_running;
     if (!wish.on_engine) {
         const double queue =
             static_cast<double>(running) / std::max(it.entry.slots, 1U);
-        return to_seconds(options_.plain_time) * (1 + queue);
+        return to_seconds(options_.plain_service_time) * (1 + queue);
     }
     const double tokens_first =
         static_cast<double>(it.reading + it.peers_reading) + reading;
-    return tokens_first / options_.reading_speed +
-           to_seconds(options_.per_running) * (running + 1);
+    return tokens_first / options_.prefill_speed +
+           to_seconds(options_.delay_per_running) * (running + 1);
 }
 
-double target_book::cost(const target_state& it, const work_wish& wish,
-                         double predicted, instant now) const
+double target_registry::cost(const target_state& it,
+                             const routing_request& wish, double predicted,
+                             instant now) const
 {
     const double slowness = std::exp(faded(it.log_slowness, now));
     const double objective = std::max(to_seconds(wish.objective), 0.05);
     double out = predicted * slowness +
                  faded(it.failures, now) * options_.failure_cost * objective;
     if (it.entry.data_center != options_.own_data_center)
-        out += to_seconds(options_.distance);
+        out += to_seconds(options_.remote_penalty);
     return out;
 }
 
-bool target_book::was_tried(const target_state& it, const work_wish& wish) const
+bool target_registry::was_tried(const target_state& it,
+                                const routing_request& wish) const
 {
     return std::ranges::find(wish.avoid, it.entry.process()) !=
            wish.avoid.end();
 }
 
 /// A data centre of which no region is known is in none of those allowed.
-bool target_book::is_outside(const target_state& it,
-                             const work_wish& wish) const
+bool target_registry::is_outside(const target_state& it,
+                                 const routing_request& wish) const
 {
     if (!wish.regions)
         return false;
@@ -122,30 +125,31 @@
 }
 
 /// Why the target is no choice for this wish; nothing if it is one.
-std::optional<absence> target_book::what_bars(const target_state& it,
-                                              const work_wish& wish,
-                                              instant now) const
+std::optional<no_target_reason>
+target_registry::what_bars(const target_state& it, const routing_request& wish,
+                           instant now) const
 {
     if (is_gone(it, now) || was_tried(it, wish))
-        return absence::none_usable;
+        return no_target_reason::none_usable;
     if (is_leaving(it))
-        return absence::leaving;
+        return no_target_reason::leaving;
     if (is_outside(it, wish))
-        return absence::outside;
+        return no_target_reason::outside_regions;
     if (is_evacuated(it))
-        return absence::evacuated;
+        return no_target_reason::evacuated;
     if (is_cold_to_us(it, now))
-        return absence::cold;
+        return no_target_reason::cold;
     if (asked_for_rest(it, now))
-        return absence::resting;
+        return no_target_reason::backing_off;
     if (is_limited_to_us(it, now))
-        return absence::limited;
+        return no_target_reason::limited;
     return std::nullopt;
 }
 
-absence target_book::why_none(const work_wish& wish, instant now) const
+no_target_reason target_registry::why_no_target(const routing_request& wish,
+                                                instant now) const
 {
-    absence out = absence::none_usable;
+    no_target_reason out = no_target_reason::none_usable;
     const auto known = by_service_.find(wish.service);
     if (known == by_service_.end())
         return out;
@@ -155,21 +159,22 @@
     return out;
 }
 
-std::optional<duration> target_book::wait_for_rest(const work_wish& wish,
-                                                   instant now) const
+std::optional<duration>
+target_registry::backoff_wait(const routing_request& wish, instant now) const
 {
     std::optional<duration> out;
     const auto known = by_service_.find(wish.service);
     if (known == by_service_.end())
         return out;
-    work_wish any = wish;
+    routing_request any = wish;
     any.avoid.clear();
     for (const target_id& id : known->second) {
         const target_state& it = targets_.at(id);
         const auto bar = what_bars(it, any, now);
-        if (!bar || *bar == absence::cold || *bar == absence::limited)
+        if (!bar || *bar == no_target_reason::cold ||
+            *bar == no_target_reason::limited)
             return std::nullopt;
-        if (*bar != absence::resting)
+        if (*bar != no_target_reason::backing_off)
             continue;
         const duration left = it.said.rest_left(now);
         out = out ? std::min(*out, left) : left;
@@ -177,8 +182,9 @@
     return out;
 }
 
-std::optional<choice> target_book::choose(const work_wish& wish, instant now,
-                                          random_source& random)
+std::optional<choice> target_registry::choose(const routing_request& wish,
+                                              instant now,
+                                              random_source& random)
 {
     const auto known = by_service_.find(wish.service);
     if (known == by_service_.end())
@@ -215,7 +221,7 @@
         const std::uint32_t here = held(*it, wish, it == expected, now);
         const std::uint32_t reading = wish.prompt_size - here;
         const std::uint32_t fetched =
-            held_most > here + options_.least_fetch ? held_most - here : 0;
+            held_most > here + options_.min_fetch_tokens ? held_most - here : 0;
         // A holder may have lost the part, and a part that lies in two places
         // is soon found in neither: the choice counts it as read in full, and
         // shared parts more than the request's own.
--- a/libs/dispatch/target_book.cpp
+++ b/libs/dispatch/target_registry.cpp
@@ -1,8 +1,8 @@
-// Averages fade: an observation's weight is halved every forget_half, so a
-// target that gets no requests drifts back to "as predicted" and is tried
+// Averages fade: an observation's weight is halved every average_half_life, so
+// a target that gets no requests drifts back to "as predicted" and is tried
 // again.
 
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -45,34 +45,34 @@
     return "unknown";
 }
 
-std::string_view to_string(absence value)
+std::string_view to_string(no_target_reason value)
 {
     switch (value) {
-    case absence::none_usable:
+    case no_target_reason::none_usable:
         return "no usable target";
-    case absence::leaving:
+    case no_target_reason::leaving:
         return "its targets leave";
-    case absence::evacuated:
+    case no_target_reason::evacuated:
         return "its data centres are evacuated";
-    case absence::cold:
+    case no_target_reason::cold:
         return "its targets are cold";
-    case absence::resting:
+    case no_target_reason::backing_off:
         return "its targets asked for rest";
-    case absence::limited:
+    case no_target_reason::limited:
         return "its targets take no more at present";
-    case absence::outside:
+    case no_target_reason::outside_regions:
         return "no target in the regions allowed";
     }
     return "unknown";
 }
 
-target_book::target_book(target_book_options options)
+target_registry::target_registry(target_registry_options options)
     : options_(std::move(options)), carriers_(options_.self, options_.carriers)
 {}
 
 std::vector<catalog::target_entry>
-target_book::sync(const catalog::target_list::entry_map& listed,
-                  bool list_in_doubt, instant now)
+target_registry::sync(const catalog::target_list::entry_map& listed,
+                      bool list_in_doubt, instant now)
 {
     std::vector<catalog::target_entry> replaced;
     for (auto& [id, state] : targets_) {
@@ -99,7 +99,7 @@
 }
 
 /// What was learned by an address that the process has left.
-void target_book::forget_address(target_state& it)
+void target_registry::forget_address(target_state& it)
 {
     it.other_life = false;
     it.rests = 0;
@@ -112,9 +112,10 @@
 /// process that is over would shun the next one, and the prompt's parts would
 /// send requests to where nothing is held. An earlier start is passed over, so
 /// that no row gets the ends of requests that it didn't count as started.
-void target_book::take_entry(target_state& it,
-                             const catalog::target_entry& entry, instant now,
-                             std::vector<catalog::target_entry>& replaced)
+void target_registry::take_entry(target_state& it,
+                                 const catalog::target_entry& entry,
+                                 instant now,
+                                 std::vector<catalog::target_entry>& replaced)
 {
     const bool fresh = it.entry.id.empty();
     if (!fresh && entry.start < it.entry.start)
@@ -132,7 +133,7 @@
     if (moved && !catalog::is_said(entry.start))
         it.said = signal_state();
     if (cold_anew && entry.warm_up_left > duration(0))
-        it.said.cool_until(now + entry.warm_up_left);
+        it.said.extend_cold_until(now + entry.warm_up_left);
     if (moved)
         forget_address(it);
     it.entry = entry;
@@ -141,7 +142,7 @@
 }
 
 /// Targets came and went: counts are taken from what peers said last.
-void target_book::recount_peers()
+void target_registry::recount_peers()
 {
     for (auto& [id, state] : targets_) {
         state.peers_running = 0;
@@ -151,7 +152,7 @@
         add_peer(load, 1);
 }
 
-void target_book::add_peer(const std::vector<target_load>& load, int sign)
+void target_registry::add_peer(const std::vector<target_load>& load, int sign)
 {
     for (const target_load& it : load)
         if (target_state* state = find(it)) {
@@ -161,43 +162,45 @@
         }
 }
 
-double target_book::faded(const fading_average& of, instant now) const
+double target_registry::faded(const fading_average& of, instant now) const
 {
     const double halves =
-        to_seconds(now - of.at) / to_seconds(options_.forget_half);
+        to_seconds(now - of.at) / to_seconds(options_.average_half_life);
     return of.value * std::exp2(-std::max(halves, 0.0));
 }
 
-void target_book::observe(fading_average& of, double value, instant now) const
+void target_registry::observe(fading_average& of, double value,
+                              instant now) const
 {
     const double old = faded(of, now);
     of.value = old + options_.newest_weight * (value - old);
     of.at = now;
 }
 
-bool target_book::is_gone(const target_state& it, instant now)
+bool target_registry::is_gone(const target_state& it, instant now)
 {
     const bool lapsed = it.use_until && now >= *it.use_until;
     return it.gone || it.other_life || lapsed;
 }
 
-bool target_book::is_leaving(const target_state& it)
+bool target_registry::is_leaving(const target_state& it)
 {
     return it.entry.leaving || it.said.leaving();
 }
 
-bool target_book::is_evacuated(const target_state& it) const
+bool target_registry::is_evacuated(const target_state& it) const
 {
     return std::ranges::binary_search(evacuated_, it.entry.data_center);
 }
 
-bool target_book::usable(const target_state& it, instant now) const
+bool target_registry::usable(const target_state& it, instant now) const
 {
     return !is_gone(it, now) && !is_leaving(it) && !is_evacuated(it);
 }
 
-std::size_t target_book::set_evacuated(std::vector<data_center_id> data_centers,
-                                       instant now)
+std::size_t
+target_registry::set_evacuated(std::vector<data_center_id> data_centers,
+                               instant now)
 {
     std::ranges::sort(data_centers);
     std::size_t ended = 0;
@@ -208,28 +211,28 @@
         if (!ends)
             continue;
         ++ended;
-        if (const cold_traits* traits = traits_of(state))
-            state.said.cool_until(now + traits->lasts);
+        if (const cold_start_profile* traits = traits_of(state))
+            state.said.extend_cold_until(now + traits->warm_up);
     }
     evacuated_ = std::move(data_centers);
     return ended;
 }
 
-bool target_book::resting(const target_state& it, instant now) const
+bool target_registry::resting(const target_state& it, instant now) const
 {
     const bool one_at_a_time = it.rests > 0 || it.on_trial;
     return now < it.rest_until || (one_at_a_time && it.trying) ||
            is_quiet(it, now);
 }
 
-bool target_book::asked_for_rest(const target_state& it, instant now)
+bool target_registry::asked_for_rest(const target_state& it, instant now)
 {
     return it.said.rest_left(now) > duration(0);
 }
 
 /// An answer to a request that was under way as the target asked for rest says
 /// nothing of the time after.
-void target_book::end_trial(target_state& it, instant now)
+void target_registry::end_trial(target_state& it, instant now)
 {
     if (!asked_for_rest(it, now))
         it.on_trial = false;
@@ -240,24 +243,25 @@
 /// nothing else says that the target is gone, so that it would get its share
 /// of new ones for seconds. One that lives again answers, or its connections
 /// are reset; both end the quiet.
-bool target_book::is_quiet(const target_state& it, instant now) const
+bool target_registry::is_quiet(const target_state& it, instant now) const
 {
-    return options_.longest_quiet > duration(0) && it.unread > 0 &&
-           now - it.quiet_since > options_.longest_quiet;
+    return options_.max_silence > duration(0) && it.unread > 0 &&
+           now - it.quiet_since > options_.max_silence;
 }
 
-void target_book::hear(target_state& it, instant now)
+void target_registry::hear(target_state& it, instant now)
 {
     it.quiet_since = std::max(it.quiet_since, now);
 }
 
-void target_book::heard(const catalog::target_process& target, instant now)
+void target_registry::note_activity(const catalog::target_process& target,
+                                    instant now)
 {
     if (target_state* it = find(target))
         hear(*it, now);
 }
 
-bool target_book::may_use(const target_id& target, instant now) const
+bool target_registry::may_use(const target_id& target, instant now) const
 {
     const auto it = targets_.find(target);
     return it != targets_.end() && usable(it->second, now) &&
@@ -265,7 +269,7 @@
 }
 
 std::optional<catalog::target_entry>
-target_book::entry_of(const target_id& target) const
+target_registry::entry_of(const target_id& target) const
 {
     const auto it = targets_.find(target);
     if (it == targets_.end())
@@ -273,14 +277,14 @@
     return it->second.entry;
 }
 
-std::size_t target_book::count(const service_id& service) const
+std::size_t target_registry::count(const service_id& service) const
 {
     const auto it = by_service_.find(service);
     return it == by_service_.end() ? 0 : it->second.size();
 }
 
-target_book::target_state*
-target_book::find(const catalog::target_process& target)
+target_registry::target_state*
+target_registry::find(const catalog::target_process& target)
 {
     const auto it = targets_.find(target.id);
     if (it == targets_.end() || it->second.entry.start != target.start)
@@ -289,7 +293,7 @@
 }
 
 /// A load without a start is of whichever process is known.
-target_book::target_state* target_book::find(const target_load& load)
+target_registry::target_state* target_registry::find(const target_load& load)
 {
     if (catalog::is_said(load.start))
         return find(catalog::target_process{load.target, load.start});
@@ -297,7 +301,8 @@
     return it == targets_.end() ? nullptr : &it->second;
 }
 
-void target_book::started(const choice& made, const work_wish& of, instant now)
+void target_registry::started(const choice& made, const routing_request& of,
+                              instant now)
 {
     target_state* it = find(made.process());
     if (it == nullptr)
@@ -308,25 +313,26 @@
     it->reading += made.work.reading;
     if (it->rests > 0 || it->on_trial)
         it->trying = true;
-    if (cold_share(*it, now) || limited_share(*it, now))
+    if (cold_quota(*it, now) || limited_quota(*it, now))
         it->sends.note(now);
     for (const shared_part& part : of.prompt)
         it->parts[part.id] = now;
     forget_parts(*it, now);
 }
 
-void target_book::forget_parts(target_state& it, instant now) const
+void target_registry::forget_parts(target_state& it, instant now) const
 {
-    if (it.parts.size() <= options_.most_parts)
+    if (it.parts.size() <= options_.max_parts)
         return;
     std::erase_if(it.parts, [&](const auto& part) {
-        return now - part.second > options_.part_memory;
+        return now - part.second > options_.part_retention;
     });
-    if (it.parts.size() > options_.most_parts)
+    if (it.parts.size() > options_.max_parts)
         it.parts.clear();
 }
 
-void target_book::first_byte(const choice& made, duration waited, instant now)
+void target_registry::first_byte(const choice& made, duration waited,
+                                 instant now)
 {
     target_state* it = find(made.process());
     if (it == nullptr)
@@ -342,8 +348,8 @@
     observe(it->log_slowness, std::log(slowness), now);
 }
 
-void target_book::finished(const choice& made, bool read,
-                           target_evidence evidence, instant now)
+void target_registry::finished(const choice& made, bool read,
+                               target_evidence evidence, instant now)
 {
     target_state* it = find(made.process());
     if (it == nullptr)
@@ -359,21 +365,21 @@
                        evidence == target_evidence::full;
     if (spoke)
         hear(*it, now);
-    learned(made.process(), evidence, now);
+    note_evidence(made.process(), evidence, now);
 }
 
-void target_book::rest(target_state& it, duration first, instant now)
+void target_registry::rest(target_state& it, duration first, instant now)
 {
     duration length = first;
-    for (int i = 0; i < it.rests && length < options_.longest_rest; ++i)
+    for (int i = 0; i < it.rests && length < options_.max_backoff; ++i)
         length *= 2;
-    it.rest_until = now + std::min(length, options_.longest_rest);
+    it.rest_until = now + std::min(length, options_.max_backoff);
     ++it.rests;
     it.trying = false;
 }
 
-void target_book::learned(const catalog::target_process& target,
-                          target_evidence evidence, instant now)
+void target_registry::note_evidence(const catalog::target_process& target,
+                                    target_evidence evidence, instant now)
 {
     target_state* it = find(target);
     if (it == nullptr)
@@ -402,11 +408,11 @@
         observe(it->failures, 1, now);
         // Several requests may fail at once; that is one rest.
         if (now >= it->rest_until)
-            rest(*it, options_.first_rest, now);
+            rest(*it, options_.initial_backoff, now);
         return;
     case target_evidence::full:
         it->trying = false;
-        it->rest_until = std::max(it->rest_until, now + options_.full_rest);
+        it->rest_until = std::max(it->rest_until, now + options_.full_backoff);
         return;
     case target_evidence::other_life:
         it->other_life = true;
@@ -417,16 +423,17 @@
     }
 }
 
-void target_book::peer_load(const host_id& peer, std::vector<target_load> load)
+void target_registry::set_peer_load(const host_id& peer,
+                                    std::vector<target_load> load)
 {
-    if (!options_.counts_peers)
+    if (!options_.counts_peer_load)
         return;
     forget_peer(peer);
     add_peer(load, 1);
     peer_loads_[peer] = std::move(load);
 }
 
-void target_book::forget_peer(const host_id& peer)
+void target_registry::forget_peer(const host_id& peer)
 {
     const auto known = peer_loads_.find(peer);
     if (known == peer_loads_.end())
@@ -435,7 +442,7 @@
     peer_loads_.erase(known);
 }
 
-std::vector<target_load> target_book::own_load() const
+std::vector<target_load> target_registry::own_load() const
 {
     std::vector<target_load> out;
     for (const auto& [id, state] : targets_)
--- a/libs/dispatch/target_book_test.cpp
+++ b/libs/dispatch/target_registry_test.cpp
@@ -1,6 +1,6 @@
 #include "sample_targets.hpp"
 
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <map>
@@ -24,9 +24,9 @@
     return out;
 }
 
-work_wish prompt(std::uint64_t part, std::uint32_t size = 5000)
+routing_request prompt(std::uint64_t part, std::uint32_t size = 5000)
 {
-    work_wish out;
+    routing_request out;
     out.service = service_id("llm");
     out.on_engine = true;
     out.prompt = {{1, 500}, {part, size}, {part * 1000 + 7, 1000}};
@@ -37,9 +37,9 @@
 
 } // namespace
 
-TEST_GROUP(target_book)
+TEST_GROUP(target_registry)
 {
-    target_book book{{}};
+    target_registry book{{}};
     random_source random{1};
 
     void setup() override
@@ -47,16 +47,16 @@
         book.sync(engines(6), false, start);
     }
 
-    target_id chosen(const work_wish& wish, instant now = start)
+    target_id chosen(const routing_request& wish, instant now = start)
     {
         const auto made = book.choose(wish, now, random);
         return made ? made->target : target_id();
     }
 };
 
-TEST(target_book, nodes_agree_where_a_part_is_read)
+TEST(target_registry, nodes_agree_where_a_part_is_read)
 {
-    target_book other{{}};
+    target_registry other{{}};
     other.sync(engines(6), false, start);
     random_source dice(99);
     for (std::uint64_t part = 2; part < 40; ++part) {
@@ -65,7 +65,7 @@
     }
 }
 
-TEST(target_book, parts_are_spread)
+TEST(target_registry, parts_are_spread)
 {
     std::map<target_id, int> count;
     for (std::uint64_t part = 2; part < 302; ++part)
@@ -77,7 +77,7 @@
 
 // Story: one thing is asked for by everybody. Its target fills up; the next
 // requests go elsewhere and fetch the part instead of reading it.
-TEST(target_book, a_hot_part_spills_over_and_is_fetched)
+TEST(target_registry, a_hot_part_spills_over_and_is_fetched)
 {
     const auto wish = prompt(5);
     const auto first = book.choose(wish, start, random);
@@ -91,11 +91,11 @@
 
 // Story: a target dies. The first failed connection takes it out of the
 // choice; after its rest one request finds out whether it is back.
-TEST(target_book, an_unreachable_target_rests_and_is_tried_gently)
+TEST(target_registry, an_unreachable_target_rests_and_is_tried_gently)
 {
     const auto wish = prompt(5);
     const target_id dead = chosen(wish);
-    book.learned({dead}, target_evidence::unreachable, start);
+    book.note_evidence({dead}, target_evidence::unreachable, start);
     for (int i = 0; i < 20; ++i)
         CHECK(chosen(wish) != dead);
     const instant later = start + seconds(30);
@@ -107,24 +107,24 @@
     CHECK(chosen(wish, later) == dead);
 }
 
-TEST(target_book, all_resting_targets_are_better_than_none)
+TEST(target_registry, all_resting_targets_are_better_than_none)
 {
     for (int i = 0; i < 6; ++i)
-        book.learned({target_id("i-" + std::to_string(i))},
-                     target_evidence::unreachable, start);
+        book.note_evidence({target_id("i-" + std::to_string(i))},
+                           target_evidence::unreachable, start);
     CHECK(!chosen(prompt(5)).empty());
 }
 
-TEST(target_book, another_life_is_never_sent_to_again)
+TEST(target_registry, another_life_is_never_sent_to_again)
 {
     const auto wish = prompt(5);
     const target_id was = chosen(wish);
-    book.learned({was}, target_evidence::other_life, start);
+    book.note_evidence({was}, target_evidence::other_life, start);
     CHECK(!book.may_use(was, start));
     CHECK(chosen(wish) != was);
 }
 
-TEST(target_book, a_leaving_target_gets_nothing_new)
+TEST(target_registry, a_leaving_target_gets_nothing_new)
 {
     const auto wish = prompt(5);
     auto listed = engines(6);
@@ -136,14 +136,14 @@
 
 // Story: the platform was away and the entries of living targets lapsed. They
 // are used for a moment, until they are back or surely gone.
-TEST(target_book, lapsed_entries_are_used_for_a_moment)
+TEST(target_registry, lapsed_entries_are_used_for_a_moment)
 {
     book.sync({}, true, start);
     CHECK(!chosen(prompt(5)).empty());
     CHECK(chosen(prompt(5), start + seconds(2)).empty());
 }
 
-TEST(target_book, a_removed_target_is_not_used)
+TEST(target_registry, a_removed_target_is_not_used)
 {
     book.sync({}, false, start);
     CHECK(chosen(prompt(5)).empty());
@@ -152,7 +152,7 @@
 // Story: a target's entry was removed after a silence, while a request of this
 // node ran there, and came back: the target lives. As long as the node ran, it
 // sent nothing more there.
-TEST(target_book, a_target_that_comes_back_is_used)
+TEST(target_registry, a_target_that_comes_back_is_used)
 {
     const auto wish = prompt(5);
     const choice made = *book.choose(wish, start, random);
@@ -166,7 +166,7 @@
     CHECK(!book.may_use(made.target, start));
 }
 
-TEST(target_book, a_slow_target_is_left_and_found_again)
+TEST(target_registry, a_slow_target_is_left_and_found_again)
 {
     // Little is shared, so that nothing but its speed holds requests there.
     const auto wish = prompt(5, 100);
@@ -182,15 +182,15 @@
     CHECK(chosen(fresh, start + seconds(60)) == made->target);
 }
 
-TEST(target_book, load_of_peers_counts_until_they_are_forgotten)
+TEST(target_registry, load_of_peers_counts_until_they_are_forgotten)
 {
     const auto wish = prompt(5);
     const target_id usual = chosen(wish);
-    book.peer_load(host_id("p"), {{usual, 500, 200'000}});
+    book.set_peer_load(host_id("p"), {{usual, 500, 200'000}});
     CHECK(chosen(wish) != usual);
-    book.peer_load(host_id("p"), {});
+    book.set_peer_load(host_id("p"), {});
     CHECK(chosen(wish) == usual);
-    book.peer_load(host_id("p"), {{usual, 500, 200'000}});
+    book.set_peer_load(host_id("p"), {{usual, 500, 200'000}});
     book.sync(engines(6), false, start);
     CHECK(chosen(wish) != usual);
     book.forget_peer(host_id("p"));
@@ -209,9 +209,9 @@
 
 TEST_GROUP(target_restart)
 {
-    target_book book{{}};
+    target_registry book{{}};
     random_source random{1};
-    const work_wish wish = prompt(5);
+    const routing_request wish = prompt(5);
     choice before; ///< Of the process that started at 100.
 
     void setup() override
@@ -231,7 +231,7 @@
         return book.sync(restarted(before.target, at, address), false, start);
     }
 
-    choice chosen(const work_wish& wanted, instant now = start)
+    choice chosen(const routing_request& wanted, instant now = start)
     {
         return *book.choose(wanted, now, random);
     }
@@ -242,7 +242,8 @@
 // next, which had done nothing.
 TEST(target_restart, nothing_is_held_against_the_next_process)
 {
-    using step = void (*)(target_book&, const choice&, const work_wish&);
+    using step =
+        void (*)(target_registry&, const choice&, const routing_request&);
     struct row
     {
         const char* what;
@@ -250,49 +251,53 @@
     };
     const row rows[] = {
         {"unreachable",
-         [](target_book& it, const choice& made, const work_wish&) {
-             it.learned(made.process(), target_evidence::unreachable, start);
+         [](target_registry& it, const choice& made, const routing_request&) {
+             it.note_evidence(made.process(), target_evidence::unreachable,
+                              start);
          }},
         {"full",
-         [](target_book& it, const choice& made, const work_wish&) {
-             it.learned(made.process(), target_evidence::full, start);
+         [](target_registry& it, const choice& made, const routing_request&) {
+             it.note_evidence(made.process(), target_evidence::full, start);
          }},
         {"another life",
-         [](target_book& it, const choice& made, const work_wish&) {
-             it.learned(made.process(), target_evidence::other_life, start);
+         [](target_registry& it, const choice& made, const routing_request&) {
+             it.note_evidence(made.process(), target_evidence::other_life,
+                              start);
          }},
         {"failures",
-         [](target_book& it, const choice& made, const work_wish&) {
+         [](target_registry& it, const choice& made, const routing_request&) {
              for (int i = 0; i < 9; ++i)
-                 it.learned(made.process(), target_evidence::broke, start);
+                 it.note_evidence(made.process(), target_evidence::broke,
+                                  start);
          }},
         {"slow",
-         [](target_book& it, const choice& made, const work_wish&) {
+         [](target_registry& it, const choice& made, const routing_request&) {
              for (int i = 0; i < 9; ++i) {
-                 it.started(made, work_wish(), start);
+                 it.started(made, routing_request(), start);
                  it.first_byte(made, seconds(60), start);
                  it.finished(made, true, target_evidence::answered, start);
              }
          }},
         {"own load",
-         [](target_book& it, const choice& made, const work_wish& wanted) {
+         [](target_registry& it, const choice& made,
+            const routing_request& wanted) {
              for (int i = 0; i < 500; ++i)
                  it.started(made, wanted, start);
          }},
         {"load of a peer",
-         [](target_book& it, const choice& made, const work_wish&) {
-             it.peer_load(host_id("p"),
-                          {{made.target, 500, 200'000, made.start}});
+         [](target_registry& it, const choice& made, const routing_request&) {
+             it.set_peer_load(host_id("p"),
+                              {{made.target, 500, 200'000, made.start}});
          }},
         {"leaving",
-         [](target_book& it, const choice& made, const work_wish&) {
+         [](target_registry& it, const choice& made, const routing_request&) {
              auto listed = restarted(made.target, 100, "10.0.1.1:80");
              listed[made.target].leaving = true;
              it.sync(listed, false, start);
          }},
     };
     for (const row& it : rows) {
-        book = target_book{{}};
+        book = target_registry{{}};
         setup();
         it.shun(book, before, wish);
         CHECK_TEXT(chosen(wish).target != before.target, it.what);
@@ -307,7 +312,7 @@
 // holds nothing.
 TEST(target_restart, what_was_read_before_is_not_expected)
 {
-    work_wish own = prompt(5);
+    routing_request own = prompt(5);
     own.prompt.erase(own.prompt.begin(), own.prompt.begin() + 2);
     const choice made = chosen(own);
     book.sync(restarted(made.target, 100, "10.0.1.1:80"), false, start);
@@ -341,7 +346,7 @@
     CHECK(load.at(0).start == catalog::target_start(200));
     book.finished(next, false, target_evidence::answered, start);
     CHECK(chosen(wish).target == next.target);
-    book.learned(before.process(), target_evidence::other_life, start);
+    book.note_evidence(before.process(), target_evidence::other_life, start);
     CHECK(book.may_use(next.target, start));
 }
 
@@ -357,8 +362,8 @@
     const row rows[] = {{100, false}, {200, true}, {300, false}, {0, true}};
     starts_again(200);
     for (const row& it : rows) {
-        book.peer_load(host_id("p"), {{before.target, 500, 200'000,
-                                       catalog::target_start(it.start)}});
+        book.set_peer_load(host_id("p"), {{before.target, 500, 200'000,
+                                           catalog::target_start(it.start)}});
         CHECK_EQUAL(it.counts, chosen(wish).target != before.target);
     }
     book.forget_peer(host_id("p"));
@@ -369,7 +374,7 @@
 // its service; a request that may be repeated is sent to the next process.
 TEST(target_restart, a_process_that_was_tried_is_avoided_and_the_next_is_not)
 {
-    work_wish again = wish;
+    routing_request again = wish;
     again.avoid = {before.process()};
     CHECK(chosen(again).target != before.target);
     starts_again(200);
@@ -413,9 +418,9 @@
 {
     for (const auto evidence :
          {target_evidence::unreachable, target_evidence::other_life}) {
-        book = target_book{{}};
+        book = target_registry{{}};
         setup();
-        book.learned(before.process(), evidence, start);
+        book.note_evidence(before.process(), evidence, start);
         CHECK(chosen(wish).target != before.target);
         starts_again(100, "10.0.1.2:80");
         CHECK(chosen(wish).target == before.target);
@@ -426,7 +431,7 @@
 // known.
 TEST(target_restart, another_id_at_the_address_begins_anew)
 {
-    book.learned(before.process(), target_evidence::unreachable, start);
+    book.note_evidence(before.process(), target_evidence::unreachable, start);
     entry_map listed = engines(6);
     catalog::target_entry other = listed[before.target];
     listed.erase(before.target);
@@ -436,7 +441,7 @@
     book.sync(listed, false, start);
     CHECK(!book.may_use(before.target, start));
     CHECK(book.may_use(other.id, start));
-    work_wish alone = wish;
+    routing_request alone = wish;
     for (const auto& [id, entry] : listed)
         if (id != other.id)
             alone.avoid.push_back(entry.process());
@@ -446,7 +451,7 @@
 // Story: a host goes dark. A summary that may not be sent again waits there
 // until its deadline, eight seconds later, and so do the others that were sent
 // after it: nothing has ended, so nothing said that the target was gone.
-TEST(target_book, a_target_that_fell_silent_gets_no_more)
+TEST(target_registry, a_target_that_fell_silent_gets_no_more)
 {
     const auto wish = prompt(5);
     const auto first = book.choose(wish, start, random);
@@ -455,7 +460,7 @@
     const instant later = start + milliseconds(1'001);
     CHECK(chosen(wish, later) != first->target);
     // It was only slow, or it is back.
-    book.heard(first->process(), later);
+    book.note_activity(first->process(), later);
     CHECK(chosen(wish, later) == first->target);
     // Nothing is waited for any more.
     book.first_byte(*first, seconds(1), later);
@@ -464,9 +469,9 @@
 }
 
 // A target may be alone in its service.
-TEST(target_book, silence_is_no_reason_to_refuse)
+TEST(target_registry, silence_is_no_reason_to_refuse)
 {
-    target_book alone{{}};
+    target_registry alone{{}};
     alone.sync(engines(1), false, start);
     const auto wish = prompt(5);
     const auto made = alone.choose(wish, start, random);
--- a/libs/dispatch/target_signals.cpp
+++ b/libs/dispatch/target_signals.cpp
@@ -1,16 +1,16 @@
-// The part of target_book that takes what targets say of themselves, from their
-// answers and from peers, and tells it to peers.
+// The part of target_registry that takes what targets say of themselves, from
+// their answers and from peers, and tells it to peers.
 
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace fennelladder::dispatch {
 
-signal_news target_book::note_signals(const catalog::target_process& target,
-                                      const catalog::target_signals& said,
-                                      instant now)
+signal_changes
+target_registry::note_signals(const catalog::target_process& target,
+                              const catalog::target_signals& said, instant now)
 {
     target_state* it = find(target);
     if (it == nullptr)
@@ -19,31 +19,32 @@
     return it->said.take(said, now);
 }
 
-std::vector<limit_word> target_book::own_limits(instant now) const
+std::vector<limit_signal> target_registry::own_limits(instant now) const
 {
-    std::vector<limit_word> out;
+    std::vector<limit_signal> out;
     for (const auto& [id, state] : targets_)
         if (const auto word = state.said.limit_for_peers(now))
             out.push_back({id, state.entry.start, word->rate, word->ago});
     return out;
 }
 
-std::vector<limit_word>
-target_book::peer_limits(const std::vector<limit_word>& words, instant at)
+std::vector<limit_signal>
+target_registry::merge_peer_limits(const std::vector<limit_signal>& words,
+                                   instant at)
 {
-    std::vector<limit_word> out;
-    for (const limit_word& word : words) {
+    std::vector<limit_signal> out;
+    for (const limit_signal& word : words) {
         target_state* it =
             find(catalog::target_process{word.target, word.start});
         if (it != nullptr &&
-            it->said.take_peers_limit(word.rate, at - word.ago))
+            it->said.apply_peer_limit(word.rate, at - word.ago))
             out.push_back(word);
     }
     return out;
 }
 
 std::vector<catalog::target_process>
-target_book::told_leaving(std::size_t most, instant now) const
+target_registry::own_leaving(std::size_t most, instant now) const
 {
     std::vector<std::pair<duration, catalog::target_process>> told;
     for (const auto& [id, state] : targets_) {
@@ -59,14 +60,13 @@
     return out;
 }
 
-std::vector<catalog::target_process>
-target_book::peer_leaving(const std::vector<catalog::target_process>& targets,
-                          instant now)
+std::vector<catalog::target_process> target_registry::merge_peer_leaving(
+    const std::vector<catalog::target_process>& targets, instant now)
 {
     std::vector<catalog::target_process> out;
     for (const catalog::target_process& each : targets) {
         target_state* it = find(each);
-        if (it != nullptr && it->said.take_peers_leaving(now))
+        if (it != nullptr && it->said.apply_peer_leaving(now))
             out.push_back(each);
     }
     return out;
--- a/libs/dispatch/target_signals_test.cpp
+++ b/libs/dispatch/target_signals_test.cpp
@@ -4,7 +4,7 @@
 #include "sample_targets.hpp"
 
 #include "fennelladder/base/random.hpp"
-#include "fennelladder/dispatch/target_book.hpp"
+#include "fennelladder/dispatch/target_registry.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <map>
@@ -27,9 +27,9 @@
     return out;
 }
 
-work_wish wish_for(bool on_engine = false)
+routing_request wish_for(bool on_engine = false)
 {
-    work_wish out;
+    routing_request out;
     out.service = service_id("llm");
     out.on_engine = on_engine;
     return out;
@@ -40,7 +40,7 @@
 TEST_GROUP(target_signals)
 {
     random_source random{1};
-    target_book book{target_book_options{}};
+    target_registry book{target_registry_options{}};
     instant now = start;
 
     void list(const entry_map& entries, bool in_doubt = false)
@@ -109,18 +109,18 @@
     const auto second = engine(2, 5);
     const entry_map both = {{first.id, first}, {second.id, second}};
     list(both);
-    CHECK(!book.wait_for_rest(wish_for(), now));
+    CHECK(!book.backoff_wait(wish_for(), now));
     book.note_signals(first.process(), {.rest = seconds(3)}, now);
     CHECK(is_choice());
-    CHECK(!book.wait_for_rest(wish_for(), now));
+    CHECK(!book.backoff_wait(wish_for(), now));
     book.note_signals(second.process(), {.rest = seconds(2)}, now);
     CHECK(!is_choice());
     CHECK(!book.may_use(first.id, now));
-    CHECK(book.why_none(wish_for(), now) == absence::resting);
-    CHECK(book.wait_for_rest(wish_for(), now) == duration(seconds(2)));
+    CHECK(book.why_no_target(wish_for(), now) == no_target_reason::backing_off);
+    CHECK(book.backoff_wait(wish_for(), now) == duration(seconds(2)));
     now += seconds(2);
     CHECK(is_choice());
-    CHECK(!book.wait_for_rest(wish_for(), now));
+    CHECK(!book.backoff_wait(wish_for(), now));
     CHECK(!book.may_use(first.id, now));
 }
 
@@ -157,7 +157,7 @@
     const auto rested = engine(1, 5);
     const auto busy = engine(2, 5);
     list({{rested.id, rested}, {busy.id, busy}});
-    book.peer_load(host_id("peer"), {{busy.id, 20, 0, busy.start}});
+    book.set_peer_load(host_id("peer"), {{busy.id, 20, 0, busy.start}});
     const auto chosen = [&] {
         return book.choose(wish_for(true), now, random)->target;
     };
@@ -183,26 +183,26 @@
     const entry_map all = {
         {first.id, first}, {second.id, second}, {third.id, third}};
     list(all);
-    target_book peer{target_book_options{}};
+    target_registry peer{target_registry_options{}};
     peer.sync(all, false, now);
     book.note_signals(first.process(), {.leaving = true}, now);
     now += seconds(1);
     book.note_signals(second.process(), {.leaving = true}, now);
-    CHECK(book.told_leaving(1, now) ==
+    CHECK(book.own_leaving(1, now) ==
           std::vector<catalog::target_process>{second.process()});
-    const auto told = book.told_leaving(16, now);
+    const auto told = book.own_leaving(16, now);
     UNSIGNED_LONGS_EQUAL(2, told.size());
-    UNSIGNED_LONGS_EQUAL(2, peer.peer_leaving(told, now).size());
-    CHECK(peer.peer_leaving(told, now).empty());
-    CHECK(peer.told_leaving(16, now).empty());
+    UNSIGNED_LONGS_EQUAL(2, peer.merge_peer_leaving(told, now).size());
+    CHECK(peer.merge_peer_leaving(told, now).empty());
+    CHECK(peer.own_leaving(16, now).empty());
     CHECK(!peer.may_use(first.id, now));
     CHECK(!peer.may_use(second.id, now));
     CHECK(peer.may_use(third.id, now));
-    CHECK(peer.peer_leaving({engine(3, 4).process()}, now).empty());
+    CHECK(peer.merge_peer_leaving({engine(3, 4).process()}, now).empty());
     CHECK(peer.may_use(third.id, now));
     now += seconds(11);
     book.note_signals(first.process(), {.leaving = true}, now);
-    CHECK(book.told_leaving(16, now).empty());
+    CHECK(book.own_leaving(16, now).empty());
 }
 
 namespace {
@@ -290,9 +290,9 @@
 
     void hear_peer()
     {
-        book_.peer_leaving({engine(1, process_ - 1).process()}, now_);
+        book_.merge_peer_leaving({engine(1, process_ - 1).process()}, now_);
         if (is_known() && random_.below(4) == 0) {
-            book_.peer_leaving({process()}, now_);
+            book_.merge_peer_leaving({process()}, now_);
             leaves_ = true;
         }
     }
@@ -332,7 +332,7 @@
     }
 
     random_source random_;
-    target_book book_{target_book_options{}};
+    target_registry book_{target_registry_options{}};
     instant now_ = start;
     std::uint64_t process_ = 5;
     bool listed_ = false;
--- a/libs/edge/allotment_writer.cpp
+++ b/libs/edge/allotment_writer.cpp
@@ -44,7 +44,7 @@
     const auto totals = prepaid_totals();
     prepaid::token_amounts out;
     for (const auto& [team, amount] : granted)
-        out[team] = prepaid::left_of(*record_, totals, team);
+        out[team] = prepaid::unallotted(*record_, totals, team);
     return out;
 }
 
@@ -72,7 +72,7 @@
     auto read = object.content.and_then(prepaid::allotment_from_json);
     if (read && object.changed == catalog::revision())
         read = fail(error_code::corrupt, "no revision");
-    if (read && record_ && !prepaid::follows(*record_, *read))
+    if (read && record_ && !prepaid::may_follow(*record_, *read))
         read = fail(error_code::corrupt, "less allotted than before");
     if (!read) {
         note_unreadable(object.changed, read.error());
@@ -155,7 +155,7 @@
         co_return false;
     }
     const bool written =
-        prepaid::written_by(*record_, tables_.settings.host, wanted.mark);
+        prepaid::contains_write(*record_, tables_.settings.host, wanted.mark);
     const auto granted = wanted.draft.granted;
     doubt_.reset();
     if (written)
@@ -169,7 +169,8 @@
     const bool read = co_await read_record();
     if (!read || !doubt_)
         co_return false;
-    if (prepaid::written_by(*record_, tables_.settings.host, doubt_->mark)) {
+    if (prepaid::contains_write(*record_, tables_.settings.host,
+                                doubt_->mark)) {
         const auto granted = doubt_->draft.granted;
         doubt_.reset();
         credit(granted);
@@ -217,7 +218,7 @@
 awaitable<void> allotment_writer::pause_after_conflict(int conflicts)
 {
     const duration most =
-        tables_.options.stock.conflict_pause * (1 << conflicts);
+        tables_.options.stock.conflict_backoff * (1 << conflicts);
     asio::steady_timer timer(tables_.io);
     co_await sleep_on(timer,
                       from_seconds(to_seconds(most) * tables_.random.unit()));
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -349,7 +349,7 @@
         const bool more = co_await read_piece(parser, piece);
         if (!more)
             co_return;
-        in_.tables.book.heard(in_.target.process(), in_.tables.now());
+        in_.tables.book.note_activity(in_.target.process(), in_.tables.now());
         if (!in_.events.feed(piece)) {
             end(attempt_end::garbled, target_evidence::broke, "events");
             co_return;
@@ -456,7 +456,7 @@
         return;
     said->is_latest =
         facts.signed_by_target && facts.request == in_.request.facts.id;
-    const dispatch::signal_news news = in_.tables.book.note_signals(
+    const dispatch::signal_changes news = in_.tables.book.note_signals(
         in_.target.process(), *said, in_.tables.now());
     log_signals(in_.target.target, *said, news, "answer");
 }
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -224,7 +224,7 @@
     tokens free;
     tokens reserved;
     tokens spent;
-    for (const auto& [team, it] : tables_.purse.holdings()) {
+    for (const auto& [team, it] : tables_.token_balances.holdings()) {
         free += it.free;
         reserved += it.reserved;
         spent += it.spent;
@@ -303,7 +303,7 @@
         .set(static_cast<std::int64_t>(tables_.pool.opened()));
     metrics.gauge_of("fennelladder_log_lines_dropped")
         .set(static_cast<std::int64_t>(log_.dropped()));
-    for (const auto& [team, it] : tables_.purse.holdings()) {
+    for (const auto& [team, it] : tables_.token_balances.holdings()) {
         const telemetry::labels where{{"team", team.str()}};
         metrics.gauge_of("fennelladder_tokens_free", where)
             .set(it.free.count());
--- a/libs/edge/mesh_node.cpp
+++ b/libs/edge/mesh_node.cpp
@@ -56,10 +56,10 @@
     list.erase(end, list.end());
 }
 
-std::vector<dispatch::limit_word>
-newest_limits(std::vector<dispatch::limit_word> all)
+std::vector<dispatch::limit_signal>
+newest_limits(std::vector<dispatch::limit_signal> all)
 {
-    std::ranges::sort(all, {}, &dispatch::limit_word::ago);
+    std::ranges::sort(all, {}, &dispatch::limit_signal::ago);
     if (all.size() > limits_limit)
         all.resize(limits_limit);
     return all;
@@ -177,7 +177,7 @@
         out.stock = desk_->own_stock();
     keep_largest(out.stock, stock_limit, &mesh::token_stock::free);
     out.limits = newest_limits(tables_.book.own_limits(tables_.now()));
-    out.leaving = tables_.book.told_leaving(leaving_limit, tables_.now());
+    out.leaving = tables_.book.own_leaving(leaving_limit, tables_.now());
     out.poison =
         tables_.poison.recent(poison_span, poison_limit, tables_.now());
     return out;
@@ -399,14 +399,14 @@
 {
     const bool is_older = from.up_for && *from.up_for > now - tables_.started;
     if (is_older && from.fleets_lost)
-        tables_.losses.hear(*from.fleets_lost, now);
+        tables_.losses.merge_peer(*from.fleets_lost, now);
 }
 
 /// A beacon without load and stock says nothing of them; taken as empty, every
 /// change of a target made its targets look idle and its tokens gone.
 void mesh_node::take_holdings(const mesh::beacon& from)
 {
-    tables_.book.peer_load(from.host, from.load);
+    tables_.book.set_peer_load(from.host, from.load);
     if (desk_ != nullptr)
         desk_->on_stock(from);
 }
@@ -414,10 +414,10 @@
 void mesh_node::take_signals(const mesh::beacon& from, instant sent)
 {
     for (const auto& it :
-         tables_.book.peer_leaving(from.leaving, tables_.now()))
+         tables_.book.merge_peer_leaving(from.leaving, tables_.now()))
         log_signals(it.id, {.leaving = true}, {.leaving = true},
                     from.host.str());
-    for (const auto& it : tables_.book.peer_limits(from.limits, sent))
+    for (const auto& it : tables_.book.merge_peer_limits(from.limits, sent))
         log_signals(it.target, {.rate_limit = it.rate}, {.rate_limit = true},
                     from.host.str());
 }
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -16,11 +16,11 @@
 
 /// Until a node counts itself among the hosts that share a limit: by then it
 /// has heard of the others.
-constexpr duration acquaintance = seconds(3);
+constexpr duration discovery_time = seconds(3);
 
-dispatch::target_book_options
+dispatch::target_registry_options
 book_options(const adapter::host_settings& settings,
-             dispatch::target_book_options out)
+             dispatch::target_registry_options out)
 {
     out.self = settings.host;
     out.regions = settings.regions;
@@ -29,11 +29,11 @@
 }
 
 /// Of a service without a rate nothing needs to be known.
-std::unordered_map<service_id, dispatch::cold_traits>
+std::unordered_map<service_id, dispatch::cold_start_profile>
 cold_traits_of(const catalog::configuration& config,
                const adapter::host_settings& settings)
 {
-    std::unordered_map<service_id, dispatch::cold_traits> out;
+    std::unordered_map<service_id, dispatch::cold_start_profile> out;
     for (const catalog::service& it : config.parts().services) {
         const double limit =
             it.cold_rate * settings.cold_overage + settings.cold_slack;
@@ -43,9 +43,9 @@
     return out;
 }
 
-dispatch::retry_allowance_options
+dispatch::retry_budget_options
 retry_options(const adapter::host_settings& settings,
-              dispatch::retry_allowance_options out)
+              dispatch::retry_budget_options out)
 {
     out.share = settings.retry_share;
     out.slack = settings.retry_slack;
@@ -56,7 +56,7 @@
 } // namespace
 
 void log_signals(const target_id& target, const catalog::target_signals& said,
-                 const dispatch::signal_news& news, const std::string& by)
+                 const dispatch::signal_changes& news, const std::string& by)
 {
     if (news.leaving)
         log_event(event::target_leaving,
@@ -83,7 +83,7 @@
       book(book_options(settings, options.book)),
       retries(retry_options(settings, options.retries)), poison({}),
       losses(settings.first_start, clock_used.now(),
-             {.acquaintance = acquaintance}),
+             {.discovery_time = discovery_time}),
       nodes(settings.host, {}), pool(context, options.pool),
       started(clock_used.now())
 {}
@@ -170,7 +170,7 @@
     configuration_announced.reset();
     config = std::make_shared<const catalog::configuration>(std::move(parts));
     config_text = std::move(text);
-    book.set_cold_traits(cold_traits_of(*config, settings));
+    book.set_cold_start_profiles(cold_traits_of(*config, settings));
     tokens prepaid;
     for (const catalog::team& it : config->parts().teams)
         prepaid += it.prepaid.value_or(tokens(0));
@@ -207,15 +207,15 @@
 /// its own.
 void node_tables::update_sharing_hosts()
 {
-    const bool is_acquainted = now() - started >= acquaintance &&
+    const bool is_acquainted = now() - started >= discovery_time &&
                                (!nodes.rows().empty() || settings.is_alone());
     if (!is_acquainted) {
-        book.set_carrier_hosts({});
+        book.set_assignable_hosts({});
         retries.set_hosts(0, now());
         return;
     }
-    book.set_carrier_hosts(nodes.large_hosts(capacity()),
-                           nodes.small_hosts(capacity()));
+    book.set_assignable_hosts(nodes.large_hosts(capacity()),
+                              nodes.small_hosts(capacity()));
     retries.set_hosts(nodes.host_count(), now());
 }
 
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -93,7 +93,7 @@
     awaitable<void> refuse(const refusal& why);
     void settle();
     void log_end(int number, std::string_view outcome, std::string_view reason);
-    dispatch::work_wish wish() const;
+    dispatch::routing_request wish() const;
     adapter::passing_on order_for(const dispatch::choice& target) const;
     duration time_left() const;
     duration whole_time() const;
@@ -119,10 +119,10 @@
     const catalog::team* team_ = nullptr;
     service_id service_;
     const catalog::engine_traits* engine_ = nullptr;
-    dispatch::request_mark mark_;
+    dispatch::request_fingerprint mark_;
     std::optional<tokens> set_aside_;
     tokens used_;
-    dispatch::course so_far_;
+    dispatch::request_state so_far_;
     event_splitter events_;
     std::vector<catalog::target_process> tried_;
     target_id last_target_;
@@ -181,8 +181,9 @@
         if (team_ == nullptr)
             return refusal{401, std::nullopt, "no valid key"};
     }
-    mark_ = dispatch::mark_of(request_.method, request_.path,
-                              team_ ? team_->id : team_id(), request_.body);
+    mark_ =
+        dispatch::fingerprint_of(request_.method, request_.path,
+                                 team_ ? team_->id : team_id(), request_.body);
     if (tables_.poison.is_poison(mark_, tables_.now()))
         return refusal{503, come_back_poison, "it kills its targets"};
     service_ = pick_service();
@@ -238,9 +239,9 @@
     set_aside_.reset();
 }
 
-dispatch::work_wish request_run::wish() const
+dispatch::routing_request request_run::wish() const
 {
-    dispatch::work_wish out;
+    dispatch::routing_request out;
     out.service = service_;
     out.on_engine = engine_ != nullptr;
     out.objective = way_->objective;
@@ -285,7 +286,7 @@
 {
     if (!reply_.begun())
         return true;
-    dispatch::course after = so_far_;
+    dispatch::request_state after = so_far_;
     ++after.sent;
     ++after.may_have_run;
     after.head_passed_on = true;
@@ -294,7 +295,7 @@
                                             tables_.options.attempts);
     if (step.action != next_action::try_other || !may_send())
         return false;
-    dispatch::work_wish other = wish();
+    dispatch::routing_request other = wish();
     other.avoid.push_back(silent.process());
     const instant now = tables_.now();
     retry_taken_ =
@@ -345,7 +346,7 @@
             in.gap_limit = part_of(way_->pause_objective,
                                    tables_.options.requests.pause_patience);
     }
-    const dispatch::work_wish wanted = wish();
+    const dispatch::routing_request wanted = wish();
     tables_.book.started(target, wanted, tables_.now());
     retry_taken_ = false;
     course_->on_silence([&] { return may_give_up_silent(target); });
@@ -419,14 +420,14 @@
         return "news are late";
     if (!may_send())
         return "its link is full";
-    return to_string(tables_.book.why_none(wish(), tables_.now()));
+    return to_string(tables_.book.why_no_target(wish(), tables_.now()));
 }
 
 /// Callers who wait for targets to end their rest come back after its end, and
 /// not all at once.
 duration request_run::when_to_come_back()
 {
-    const auto rest = tables_.book.wait_for_rest(wish(), tables_.now());
+    const auto rest = tables_.book.backoff_wait(wish(), tables_.now());
     if (!rest)
         return come_back;
     const duration spread =
@@ -507,7 +508,8 @@
          {"tokens_wanted", std::to_string(worst_case().count())},
          {"tokens_used", std::to_string(used_.count())},
          {"tokens_free",
-          team_ ? std::to_string(tables_.purse.free_of(team_->id).count())
+          team_ ? std::to_string(
+                      tables_.token_balances.free_of(team_->id).count())
                 : ""},
          {"platform", tables_.contact.reached ? "reached" : "out"}});
     tables_.metrics
--- a/libs/edge/stock_keeper.cpp
+++ b/libs/edge/stock_keeper.cpp
@@ -70,17 +70,17 @@
 {
     const prepaid::stock_options& options = tables_.options.stock;
     const instant now = tables_.now();
-    if (options.large_holders) {
+    if (options.large_hosts_only) {
         const auto large = tables_.nodes.large_members(tables_.capacity(), now);
-        if (large.size() >= options.stockists)
-            return prepaid::holders_of(large, options);
+        if (large.size() >= options.holders_per_team)
+            return prepaid::holder_candidates_of(large, options);
     }
-    return prepaid::holders_of(tables_.nodes.members(now), options);
+    return prepaid::holder_candidates_of(tables_.nodes.members(now), options);
 }
 
 std::vector<host_id> stock_keeper::stockists(const team_id& team) const
 {
-    return prepaid::stockists_of(team, holders(), tables_.options.stock);
+    return prepaid::holders_of(team, holders(), tables_.options.stock);
 }
 
 bool stock_keeper::is_stockist() const
@@ -174,23 +174,22 @@
 {
     prepaid::stock_state out;
     const instant now = tables_.now();
-    const auto few =
-        prepaid::stockists_of(team, holders, tables_.options.stock);
+    const auto few = prepaid::holders_of(team, holders, tables_.options.stock);
     const auto others = peers_.sum(team, few, now - tables_.stock_word_lasts());
-    const tokens own = tables_.purse.free_of(team);
+    const tokens own = tables_.token_balances.free_of(team);
     out.prepaid = total;
     out.left = left_of(team);
-    out.stockists = few.size();
-    out.stockist = std::ranges::find(few, tables_.settings.host) != few.end();
+    out.live_holders = few.size();
+    out.is_holder = std::ranges::find(few, tables_.settings.host) != few.end();
     out.fleet_free = own + others.free;
-    out.outage = outages_.longest(now);
+    out.longest_outage = outages_.longest(now);
     out.losses = tables_.losses.at(now);
-    out.stocked = others.free_of_some + (out.stockist ? own : tokens(0));
-    out.fleet_spending = tables_.purse.spending(team, now) +
+    out.stocked = others.free_of_some + (out.is_holder ? own : tokens(0));
+    out.fleet_spending = tables_.token_balances.spending(team, now) +
                          static_cast<double>(others.spent_per_second.count());
     const auto wanted = wanted_.find(team);
     if (wanted != wanted_.end())
-        out.waited_for = wanted->second.amount;
+        out.unmet_demand = wanted->second.amount;
     return out;
 }
 
@@ -199,8 +198,8 @@
     prepaid::token_amounts out;
     const auto all = holders();
     for (const auto& [team, total] : writer_.prepaid_totals()) {
-        const tokens wish = prepaid::stock_wish(state_of(team, total, all),
-                                                tables_.options.stock);
+        const tokens wish = prepaid::tokens_to_take(state_of(team, total, all),
+                                                    tables_.options.stock);
         if (wish > tokens(0))
             out[team] = wish;
     }
@@ -210,7 +209,7 @@
 void stock_keeper::take(const prepaid::token_amounts& granted)
 {
     for (const auto& [team, amount] : granted)
-        tables_.purse.credit(team, amount);
+        tables_.token_balances.credit(team, amount);
     hooks_.credited();
 }
 
@@ -224,7 +223,7 @@
     const instant now = tables_.now();
     for (const auto& [team, wish] : wishes()) {
         instant& last = asked_at_[team];
-        if (now - last < tables_.options.stock.write_pause)
+        if (now - last < tables_.options.stock.write_interval)
             continue;
         last = now;
         hooks_.ask(writer, team, wish);
@@ -235,12 +234,12 @@
 {
     const prepaid::stock_options& options = tables_.options.stock;
     const duration rested = tables_.now() - last_write_;
-    if (!has_urgent() && rested < options.write_pause)
+    if (!has_urgent() && rested < options.write_interval)
         co_return true;
-    if (rested < options.urgent_pause) {
+    if (rested < options.urgent_write_interval) {
         // What others come to want meanwhile goes into the same write.
         asio::steady_timer timer(tables_.io);
-        co_await sleep_on(timer, options.urgent_pause - rested);
+        co_await sleep_on(timer, options.urgent_write_interval - rested);
     }
     const instant begun = tables_.now();
     const auto amounts = wishes();
--- a/libs/edge/target_prober.cpp
+++ b/libs/edge/target_prober.cpp
@@ -20,7 +20,7 @@
 } // namespace
 
 void target_prober::broke(const catalog::target_process& target,
-                          dispatch::request_mark mark)
+                          dispatch::request_fingerprint mark)
 {
     const bool under_way = suspects_.contains(target);
     suspects_[target].push_back(mark);
@@ -29,7 +29,7 @@
 }
 
 void target_prober::left_unfinished(const catalog::target_process& target,
-                                    dispatch::request_mark mark)
+                                    dispatch::request_fingerprint mark)
 {
     if (started_again(target))
         blame(target, {mark});
@@ -39,7 +39,7 @@
                           const suspect_list& suspects)
 {
     bool news = false;
-    for (const dispatch::request_mark mark : suspects)
+    for (const dispatch::request_fingerprint mark : suspects)
         news |= tables_.poison.note_death(mark, target, tables_.now());
     telemetry::log_event(telemetry::event::target_died,
                          {{"target", target.id.str()},
@@ -83,8 +83,8 @@
     const suspect_list suspects = std::move(suspects_[target]);
     suspects_.erase(target);
     if (unreachable)
-        tables_.book.learned(target, dispatch::target_evidence::unreachable,
-                             tables_.now());
+        tables_.book.note_evidence(
+            target, dispatch::target_evidence::unreachable, tables_.now());
     const instant until = tables_.now() + restart_news;
     bool died = unreachable || started_again(target);
     while (!died && tables_.now() < until) {
--- a/libs/edge/token_desk.cpp
+++ b/libs/edge/token_desk.cpp
@@ -69,7 +69,8 @@
 
 token_desk::token_desk(node_tables& tables, platform_client& client,
                        sender send)
-    : tables_(tables), send_(std::move(send)), shares_(tables.options.ration),
+    : tables_(tables), send_(std::move(send)),
+      shares_(tables.options.urgency_reserve),
       keeper_(tables, client, peers_,
               {.credited = [this] { answer_pending(instant()); },
                .round_over =
@@ -160,18 +161,19 @@
 
 bool token_desk::reserve(const team_id& team, tokens amount, int urgency)
 {
-    if (tables_.purse.free_of(team) - amount < kept_back(team, urgency))
+    if (tables_.token_balances.free_of(team) - amount <
+        kept_back(team, urgency))
         return false;
-    return tables_.purse.reserve(team, amount, tables_.now());
+    return tables_.token_balances.reserve(team, amount, tables_.now());
 }
 
 /// Takes out of the purse what a peer may have of what it asks for.
 tokens token_desk::debit(const mesh::token_ask& ask)
 {
-    const tokens free = tables_.purse.free_of(ask.team);
+    const tokens free = tables_.token_balances.free_of(ask.team);
     const tokens spare = free - kept_back(ask.team, ask.urgency);
-    return tables_.purse.debit(ask.team,
-                               std::clamp(spare, tokens(0), ask.wanted));
+    return tables_.token_balances.debit(
+        ask.team, std::clamp(spare, tokens(0), ask.wanted));
 }
 
 /// What to ask others for. Where several requests of the team wait, each would
@@ -183,7 +185,8 @@
     const auto waiting = waiting_by_team_->find(team);
     const bool alone =
         waiting == waiting_by_team_->end() || waiting->second <= 1;
-    const tokens spare = tables_.purse.free_of(team) - kept_back(team, urgency);
+    const tokens spare =
+        tables_.token_balances.free_of(team) - kept_back(team, urgency);
     return alone ? amount - std::max(spare, tokens(0)) : amount;
 }
 
@@ -191,8 +194,9 @@
 {
     const tokens left =
         keeper_.is_scarce(team) ? tokens(0) : keeper_.left_of(team);
-    return prepaid::ask_beyond(tables_.purse.spending(team, tables_.now()),
-                               left, tables_.options.stock);
+    return prepaid::extra_to_request(
+        tables_.token_balances.spending(team, tables_.now()), left,
+        tables_.options.stock);
 }
 
 /// Has tokens taken out of the record, here or where it is written.
@@ -230,7 +234,7 @@
 
 void token_desk::settle(const team_id& team, tokens reserved, tokens used)
 {
-    tables_.purse.settle(team, reserved, used, tables_.now());
+    tables_.token_balances.settle(team, reserved, used, tables_.now());
     if (used < reserved)
         changed();
 }
@@ -291,7 +295,7 @@
         return;
     if (!ask.patient)
         shares_.note(ask.team, ask.urgency, ask.wanted, tables_.now());
-    const tokens free = tables_.purse.free_of(ask.team);
+    const tokens free = tables_.token_balances.free_of(ask.team);
     if (free < ask.wanted && keeper_.may_take_out(ask.team)) {
         pending_.push_back({ask, from, tables_.now()});
         keeper_.want(ask.team, ask.wanted - free, ask.patient);
@@ -309,7 +313,7 @@
 {
     std::vector<pending_ask> left;
     for (pending_ask& it : std::exchange(pending_, {})) {
-        const tokens free = tables_.purse.free_of(it.ask.team);
+        const tokens free = tables_.token_balances.free_of(it.ask.team);
         if (free >= it.ask.wanted || it.at <= begun)
             give(it.ask, it.from, debit(it.ask));
         else
@@ -348,12 +352,13 @@
     answered_[{ask.life, ask.number}] = {*message.give, tables_.now()};
     send_(from, message);
     if (amount > tokens(0))
-        log_event(event::tokens_moved,
-                  {{"team", ask.team.str()},
-                   {"amount", std::to_string(amount.count())},
-                   {"to", from},
-                   {"left",
-                    std::to_string(tables_.purse.free_of(ask.team).count())}});
+        log_event(
+            event::tokens_moved,
+            {{"team", ask.team.str()},
+             {"amount", std::to_string(amount.count())},
+             {"to", from},
+             {"left", std::to_string(
+                          tables_.token_balances.free_of(ask.team).count())}});
 }
 
 void token_desk::on_give(const mesh::token_give& give)
@@ -367,7 +372,7 @@
     asked_.erase(it);
     if (give.allotted)
         keeper_.learn_allotted(give.team, *give.allotted);
-    tables_.purse.credit(give.team, give.amount);
+    tables_.token_balances.credit(give.team, give.amount);
     changed();
 }
 
@@ -375,7 +380,7 @@
 {
     const auto key = std::make_pair(gift.life, gift.number);
     if (gifts_taken_.emplace(key, tables_.now()).second) {
-        tables_.purse.credit(gift.team, gift.amount);
+        tables_.token_balances.credit(gift.team, gift.amount);
         log_event(event::tokens_moved,
                   {{"team", gift.team.str()},
                    {"amount", std::to_string(gift.amount.count())},
@@ -415,9 +420,9 @@
 {
     std::vector<mesh::token_stock> out;
     const instant now = tables_.now();
-    for (const auto& [team, it] : tables_.purse.holdings()) {
-        const tokens spending(
-            static_cast<std::int64_t>(tables_.purse.spending(team, now)));
+    for (const auto& [team, it] : tables_.token_balances.holdings()) {
+        const tokens spending(static_cast<std::int64_t>(
+            tables_.token_balances.spending(team, now)));
         if (it.free > tokens(0) || spending > tokens(0))
             out.push_back({team, it.free, spending});
     }
@@ -451,7 +456,7 @@
             continue;
         last_number_ = last_number_.next();
         const mesh::token_gift gift{tables_.life, last_number_, it.team,
-                                    tables_.purse.debit_all(it.team)};
+                                    tables_.token_balances.debit_all(it.team)};
         gifts_[last_number_] = gift;
         spawn(tables_.io, repeat_gift(gift, taker, until));
     }
--- a/libs/edge/token_desk_test.cpp
+++ b/libs/edge/token_desk_test.cpp
@@ -41,7 +41,10 @@
 
     ~fleet() { telemetry::set_log_sink(nullptr); }
 
-    prepaid::purse& purse(int i) { return nodes_[i]->tables.purse; }
+    prepaid::token_balances& token_balances(int i)
+    {
+        return nodes_[i]->tables.token_balances;
+    }
     token_desk& desk(int i) { return nodes_[i]->desk; }
     asio::io_context& io() { return io_; }
     instant now() { return time_.now(); }
@@ -83,7 +86,7 @@
     {
         tokens out;
         for (const auto& it : nodes_)
-            for (const auto& [id, held] : it->tables.purse.holdings())
+            for (const auto& [id, held] : it->tables.token_balances.holdings())
                 out += held.free + held.reserved + held.spent;
         return out;
     }
@@ -179,14 +182,14 @@
 TEST(token_desk, a_node_without_tokens_gets_them_from_a_peer)
 {
     fleet all(1, 0);
-    all.purse(0).credit(team, tokens(1000));
+    all.token_balances(0).credit(team, tokens(1000));
     all.tell_stock();
     int got = 0;
     spawn(all.io(), obtain(all, 1, tokens(300), got));
     spawn(all.io(), obtain(all, 2, tokens(500), got));
     all.run_for(milliseconds(100));
     CHECK_EQUAL(2, got);
-    CHECK(all.purse(0).free_of(team) == tokens(200));
+    CHECK(all.token_balances(0).free_of(team) == tokens(200));
     CHECK(all.held() == tokens(1000));
 }
 
@@ -194,8 +197,8 @@
 TEST(token_desk, pieces_are_put_together)
 {
     fleet all(1, 0);
-    all.purse(0).credit(team, tokens(200));
-    all.purse(1).credit(team, tokens(200));
+    all.token_balances(0).credit(team, tokens(200));
+    all.token_balances(1).credit(team, tokens(200));
     all.tell_stock();
     int got = 0;
     spawn(all.io(), obtain(all, 2, tokens(400), got));
@@ -206,7 +209,7 @@
 TEST(token_desk, a_request_that_nobody_can_cover_is_given_up)
 {
     fleet all(1, 0);
-    all.purse(0).credit(team, tokens(200));
+    all.token_balances(0).credit(team, tokens(200));
     all.tell_stock();
     int got = 0;
     spawn(all.io(), obtain(all, 2, tokens(400), got));
@@ -221,7 +224,7 @@
 {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         fleet all(seed, 0.33);
-        all.purse(0).credit(team, tokens(5000));
+        all.token_balances(0).credit(team, tokens(5000));
         random_source random(seed);
         int got = 0;
         for (int i = 0; i < 30; ++i) {
@@ -242,11 +245,11 @@
 TEST(token_desk, a_leaving_node_hands_its_tokens_on)
 {
     fleet all(3, 0.33);
-    all.purse(0).credit(team, tokens(1000));
+    all.token_balances(0).credit(team, tokens(1000));
     all.tell_stock();
     spawn(all.io(), all.desk(0).hand_over(milliseconds(800)));
     all.run_for(milliseconds(900));
-    CHECK(all.purse(0).free_of(team) == tokens(0));
+    CHECK(all.token_balances(0).free_of(team) == tokens(0));
     CHECK(all.held() == tokens(1000));
 }
 
@@ -257,7 +260,7 @@
 {
     fleet all(4, 0);
     for (int i = 0; i < 2; ++i)
-        all.purse(i).credit(team, tokens(20'000));
+        all.token_balances(i).credit(team, tokens(20'000));
     all.desk(0).start(); // Finds that the platform is away.
     all.run_for(milliseconds(900));
     int urgent = 0;
--- a/libs/mesh/messages.cpp
+++ b/libs/mesh/messages.cpp
@@ -149,7 +149,7 @@
 dispatch::poison_record from_wire(const wire::Poison& from)
 {
     dispatch::poison_record out;
-    out.mark = id_of<dispatch::request_mark>(from.mark);
+    out.mark = id_of<dispatch::request_fingerprint>(from.mark);
     for (std::size_t i = 0; i < from.deaths.size(); ++i) {
         const bool said = i < from.starts_ms.size();
         out.deaths.push_back(
@@ -221,7 +221,7 @@
     return instant(milliseconds(ms));
 }
 
-wire::Limit to_wire(const dispatch::limit_word& from)
+wire::Limit to_wire(const dispatch::limit_signal& from)
 {
     wire::Limit out;
     out.target = from.target.str();
@@ -364,17 +364,17 @@
     return is_id(from.target) && is_rate && from.ago_ms >= 0;
 }
 
-std::vector<dispatch::limit_word>
+std::vector<dispatch::limit_signal>
 limits_from(const std::vector<wire::Limit>& all, std::size_t& left_out)
 {
-    std::vector<dispatch::limit_word> out;
+    std::vector<dispatch::limit_signal> out;
     for (const wire::Limit& it : first_rows(all, left_out)) {
         if (!is_limit(it)) {
             ++left_out;
             continue;
         }
-        dispatch::limit_word word{target_id(it.target), start_of(it.start_ms),
-                                  std::nullopt, milliseconds(it.ago_ms)};
+        dispatch::limit_signal word{target_id(it.target), start_of(it.start_ms),
+                                    std::nullopt, milliseconds(it.ago_ms)};
         if (it.__isset.rate)
             word.rate = it.rate;
         out.push_back(std::move(word));
--- a/libs/mesh/messages_test.cpp
+++ b/libs/mesh/messages_test.cpp
@@ -38,7 +38,7 @@
          {target_id("i-2"), std::nullopt, catalog::revision(12)}}};
     out.load = {{target_id("i-1"), 3, 400, catalog::target_start(42)}};
     out.stock = {{team_id("t"), tokens(1000), tokens(20)}};
-    out.poison = {{dispatch::request_mark(0xfedcba9876543210),
+    out.poison = {{dispatch::request_fingerprint(0xfedcba9876543210),
                    {{target_id("i-1"), catalog::target_start(41)},
                     {target_id("i-1"), catalog::target_start(42)},
                     {target_id("i-2")}}}};
@@ -145,7 +145,8 @@
     CHECK(it.heard.at(0).ago == milliseconds(40));
     CHECK(it.load.at(0).reading == 400);
     CHECK(it.stock.at(0).spent_per_second == tokens(20));
-    CHECK(it.poison.at(0).mark == dispatch::request_mark(0xfedcba9876543210));
+    CHECK(it.poison.at(0).mark ==
+          dispatch::request_fingerprint(0xfedcba9876543210));
     CHECK(it.poison.at(0).deaths == sample().poison.at(0).deaths);
     CHECK(it.load.at(0).start == catalog::target_start(42));
     STRCMP_EQUAL("10.0.0.2:7000", it.introduced.at(0).c_str());
@@ -340,9 +341,9 @@
                             {team_id("b"), tokens(1), tokens(-1)},
                             {team_id("c"), tokens(INT64_MAX), tokens(1)},
                             {team_id("d"), tokens(1), tokens(1)}};
-    message.hello->poison.push_back({dispatch::request_mark(1), {}});
+    message.hello->poison.push_back({dispatch::request_fingerprint(1), {}});
     message.hello->poison.push_back(
-        {dispatch::request_mark(2), {{target_id(), {}}}});
+        {dispatch::request_fingerprint(2), {{target_id(), {}}}});
     message.hello->introduced = {"nowhere", "10.0.0.2:7000", ""};
     const auto got = decode_datagram(encode(message));
     CHECK(got && got->hello);
@@ -427,7 +428,7 @@
     it.stock.assign(many, {team_id("t"), tokens(1), tokens(1)});
     it.poison.assign(
         many,
-        {dispatch::request_mark(1),
+        {dispatch::request_fingerprint(1),
          std::vector(many, catalog::target_process{target_id("i-1"), {}})});
     it.introduced.assign(many, "10.0.0.2:7000");
     it.heard.assign(many, {node_life(78), milliseconds(40)});
--- a/libs/prepaid/allotment_record.cpp
+++ b/libs/prepaid/allotment_record.cpp
@@ -27,15 +27,15 @@
     const bool negative =
         !from.is_number_unsigned() && from.get<std::int64_t>() < 0;
     const auto count = from.get<std::uint64_t>();
-    if (negative || count > static_cast<std::uint64_t>(most_allotted.count()))
+    if (negative || count > static_cast<std::uint64_t>(max_allotted.count()))
         return std::nullopt;
     return tokens(static_cast<std::int64_t>(count));
 }
 
 } // namespace
 
-tokens left_of(const allotment_record& record, const token_amounts& prepaid,
-               const team_id& team)
+tokens unallotted(const allotment_record& record, const token_amounts& prepaid,
+                  const team_id& team)
 {
     const auto total = prepaid.find(team);
     if (total == prepaid.end())
@@ -49,12 +49,13 @@
 allotment_draft draft_allotment(const allotment_record& record,
                                 const token_amounts& prepaid,
                                 const token_amounts& wishes,
-                                const host_id& writer, const write_mark& mark)
+                                const host_id& writer, const write_id& mark)
 {
     allotment_draft out;
     out.record = record;
     for (const auto& [team, wanted] : wishes) {
-        const tokens given = std::min(wanted, left_of(record, prepaid, team));
+        const tokens given =
+            std::min(wanted, unallotted(record, prepaid, team));
         if (given <= tokens(0))
             continue;
         out.record.allotted[team] += given;
@@ -64,14 +65,14 @@
     return out;
 }
 
-bool written_by(const allotment_record& record, const host_id& writer,
-                const write_mark& mark)
+bool contains_write(const allotment_record& record, const host_id& writer,
+                    const write_id& mark)
 {
     const auto it = record.last_write.find(writer);
     return it != record.last_write.end() && it->second == mark;
 }
 
-bool follows(const allotment_record& earlier, const allotment_record& later)
+bool may_follow(const allotment_record& earlier, const allotment_record& later)
 {
     return std::ranges::all_of(earlier.allotted, [&](const auto& it) {
         const auto now = later.allotted.find(it.first);
@@ -107,7 +108,7 @@
     for (const auto& [host, mark] : writers->items()) {
         if (!mark.is_string())
             return fail(error_code::corrupt, "last write of host " + host);
-        out.last_write[host_id(host)] = mark.get<write_mark>();
+        out.last_write[host_id(host)] = mark.get<write_id>();
     }
     return out;
 }
--- a/libs/prepaid/allotment_record_test.cpp
+++ b/libs/prepaid/allotment_record_test.cpp
@@ -45,7 +45,7 @@
     draft =
         draft_allotment(draft.record, prepaid, {{team, tokens(1)}}, one, "a.2");
     CHECK(draft.granted.empty());
-    CHECK(left_of(draft.record, prepaid, team) == tokens(0));
+    CHECK(unallotted(draft.record, prepaid, team) == tokens(0));
 }
 
 TEST(allotment_record, a_team_that_is_not_prepaid_gets_none)
@@ -63,7 +63,7 @@
     struct pending
     {
         allotment_draft draft;
-        write_mark mark;
+        write_id mark;
         int expected = 0;
     };
     struct node
@@ -88,7 +88,7 @@
             }
             node& it = nodes[random.below(2)];
             if (it.doubt) {
-                if (written_by(platform.record, it.host, it.doubt->mark)) {
+                if (contains_write(platform.record, it.host, it.doubt->mark)) {
                     it.held += it.doubt->draft.granted.at(team);
                     it.doubt.reset();
                 } else if (platform.revision != it.doubt->expected) {
--- a/libs/prepaid/mortal_fleet.hpp
+++ b/libs/prepaid/failing_fleet.hpp
@@ -5,11 +5,11 @@
 //     it.run(50);
 //     it.lost_share();
 
-#ifndef FENNELLADDER_PREPAID_MORTAL_FLEET_HPP
-#define FENNELLADDER_PREPAID_MORTAL_FLEET_HPP
+#ifndef FENNELLADDER_PREPAID_FAILING_FLEET_HPP
+#define FENNELLADDER_PREPAID_FAILING_FLEET_HPP
 
-#include "fennelladder/prepaid/loss_memory.hpp"
-#include "fennelladder/prepaid/outage_memory.hpp"
+#include "fennelladder/prepaid/loss_tracker.hpp"
+#include "fennelladder/prepaid/outage_tracker.hpp"
 #include "fennelladder/prepaid/stock_plan.hpp"
 
 #include <algorithm>
@@ -70,8 +70,8 @@
     void remember(double share)
     {
         if (share == 1) {
-            outages_ = outage_memory();
-            losses_ = loss_memory(false, at());
+            outages_ = outage_tracker();
+            losses_ = loss_tracker(false, at());
             return;
         }
         constexpr std::size_t hosts = 100;
@@ -100,16 +100,16 @@
         state.fleet_free = tokens(static_cast<std::int64_t>(stock_));
         state.stocked = state.fleet_free;
         state.fleet_spending = spending;
-        state.outage = outages_.longest(at());
+        state.longest_outage = outages_.longest(at());
         state.losses = losses_.at(at());
-        state.stockist = true;
-        stock_ += static_cast<double>(stock_wish(state, {}).count());
+        state.is_holder = true;
+        stock_ += static_cast<double>(tokens_to_take(state, {}).count());
     }
 
     std::vector<death> deaths_;
     double outage_s_;
-    outage_memory outages_;
-    loss_memory losses_{true, at()};
+    outage_tracker outages_;
+    loss_tracker losses_{true, at()};
     double now_ = 0;
     double stock_ = 0;
     double spent_ = 0;
--- a/libs/prepaid/loss_memory.cpp
+++ b/libs/prepaid/loss_tracker.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/prepaid/loss_memory.hpp"
+#include "fennelladder/prepaid/loss_tracker.hpp"
 
 #include <algorithm>
 #include <cassert>
@@ -16,12 +16,13 @@
 
 } // namespace
 
-loss_memory::loss_memory(bool first_start, instant now, loss_options options)
+loss_tracker::loss_tracker(bool first_start, instant now,
+                           loss_tracker_options options)
     : options_(options), started_(now), presumes_all_(!first_start),
       changed_(now)
 {}
 
-double loss_memory::at(instant now) const
+double loss_tracker::at(instant now) const
 {
     const double counted = faded(counted_, now - changed_, options_.half_life);
     if (!presumes_all_)
@@ -29,14 +30,14 @@
     return std::max(counted, faded(1, now - started_, options_.half_life));
 }
 
-std::optional<double> loss_memory::known(instant now) const
+std::optional<double> loss_tracker::known(instant now) const
 {
-    if (presumes_all_ && now - started_ < options_.acquaintance)
+    if (presumes_all_ && now - started_ < options_.discovery_time)
         return std::nullopt;
     return at(now);
 }
 
-void loss_memory::note_death(std::size_t hosts, instant now)
+void loss_tracker::note_death(std::size_t hosts, instant now)
 {
     assert(hosts > 0);
     counted_ = faded(counted_, now - changed_, options_.half_life) +
@@ -44,7 +45,7 @@
     changed_ = now;
 }
 
-void loss_memory::hear(double said, instant now)
+void loss_tracker::merge_peer(double said, instant now)
 {
     presumes_all_ = false;
     counted_ = std::max(at(now), said);
--- a/libs/prepaid/outage_memory.cpp
+++ b/libs/prepaid/outage_tracker.cpp
@@ -1,30 +1,30 @@
-#include "fennelladder/prepaid/outage_memory.hpp"
+#include "fennelladder/prepaid/outage_tracker.hpp"
 
 #include <algorithm>
 
 namespace fennelladder::prepaid {
 
-void outage_memory::note(bool reached, instant now)
+void outage_tracker::note(bool reached, instant now)
 {
     if (!reached) {
         began_ = began_.value_or(now);
         return;
     }
-    if (began_ && now - *began_ >= options_.least)
+    if (began_ && now - *began_ >= options_.min_length)
         past_.push_back({*began_, now});
     began_.reset();
     std::erase_if(past_, [&](const outage& it) {
-        return now - it.ended > options_.memory;
+        return now - it.ended > options_.retention;
     });
 }
 
-duration outage_memory::longest(instant now) const
+duration outage_tracker::longest(instant now) const
 {
     duration out(0);
-    if (began_ && now - *began_ >= options_.least)
+    if (began_ && now - *began_ >= options_.min_length)
         out = now - *began_;
     for (const outage& it : past_)
-        if (now - it.ended <= options_.memory)
+        if (now - it.ended <= options_.retention)
             out = std::max(out, it.ended - it.began);
     return out;
 }
--- a/libs/prepaid/outage_memory_test.cpp
+++ b/libs/prepaid/outage_tracker_test.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/prepaid/outage_memory.hpp"
+#include "fennelladder/prepaid/outage_tracker.hpp"
 
 #include <CppUTest/TestHarness.h>
 
@@ -11,9 +11,9 @@
 
 } // namespace
 
-TEST_GROUP(outage_memory)
+TEST_GROUP(outage_tracker)
 {
-    outage_memory outages;
+    outage_tracker outages;
 
     /// From `from` to `to`, in seconds.
     void away(int from, int to)
@@ -32,7 +32,7 @@
     }
 };
 
-TEST(outage_memory, the_longest_counts)
+TEST(outage_tracker, the_longest_counts)
 {
     LONGS_EQUAL(0, longest_at(0));
     away(5, 13);
@@ -40,21 +40,21 @@
     LONGS_EQUAL(8, longest_at(30));
 }
 
-TEST(outage_memory, one_that_lasts_counts_as_it_grows)
+TEST(outage_tracker, one_that_lasts_counts_as_it_grows)
 {
     outages.note(false, start);
     LONGS_EQUAL(0, longest_at(0));
     LONGS_EQUAL(6, longest_at(6));
 }
 
-TEST(outage_memory, a_failed_call_is_no_outage)
+TEST(outage_tracker, a_failed_call_is_no_outage)
 {
     outages.note(false, start);
     outages.note(true, start + milliseconds(900));
     LONGS_EQUAL(0, longest_at(1));
 }
 
-TEST(outage_memory, what_is_long_ago_is_forgotten)
+TEST(outage_tracker, what_is_long_ago_is_forgotten)
 {
     away(0, 8);
     LONGS_EQUAL(8, longest_at(600));
--- a/libs/prepaid/stock_losses_test.cpp
+++ b/libs/prepaid/stock_losses_test.cpp
@@ -1,6 +1,6 @@
 // What a team loses over a day on which nodes die several times.
 
-#include "mortal_fleet.hpp"
+#include "failing_fleet.hpp"
 
 #include <CppUTest/TestHarness.h>
 
--- a/libs/prepaid/stock_plan_test.cpp
+++ b/libs/prepaid/stock_plan_test.cpp
@@ -14,8 +14,8 @@
     out.prepaid = tokens(1'000'000);
     out.left = tokens(900'000);
     out.fleet_spending = 20'000;
-    out.stockists = 3;
-    out.stockist = true;
+    out.live_holders = 3;
+    out.is_holder = true;
     return out;
 }
 
@@ -31,11 +31,11 @@
     stock_state it = busy();
     it.left = tokens(2'400'000); // For two minutes: no share is in the way.
     const double goal = 20'000 * to_seconds(options.horizon);
-    const tokens wish = stock_wish(it, options);
+    const tokens wish = tokens_to_take(it, options);
     DOUBLES_EQUAL(goal / 3, static_cast<double>(wish.count()), 2);
     it.fleet_free = tokens(static_cast<std::int64_t>(goal));
     it.stocked = it.fleet_free;
-    CHECK(stock_wish(it, options) == tokens(0));
+    CHECK(tokens_to_take(it, options) == tokens(0));
 }
 
 // Story: eighty nodes hold the rest of a request each, too little for the next
@@ -47,19 +47,19 @@
     const auto goal =
         static_cast<std::int64_t>(20'000 * to_seconds(options.horizon));
     it.fleet_free = tokens(goal / 4);
-    const tokens wish = stock_wish(it, options);
+    const tokens wish = tokens_to_take(it, options);
     CHECK(wish.count() > goal / 4 && wish.count() <= goal / 3);
     it.left = tokens(it.fleet_free.count() / 2);
-    CHECK(stock_wish(it, options) == tokens(0));
+    CHECK(tokens_to_take(it, options) == tokens(0));
 }
 
 TEST(stock_plan, others_take_only_what_somebody_waits_for)
 {
     stock_state it = busy();
-    it.stockist = false;
-    CHECK(stock_wish(it, options) == tokens(0));
-    it.waited_for = tokens(700);
-    CHECK(stock_wish(it, options) == tokens(700));
+    it.is_holder = false;
+    CHECK(tokens_to_take(it, options) == tokens(0));
+    it.unmet_demand = tokens(700);
+    CHECK(tokens_to_take(it, options) == tokens(700));
 }
 
 // Story: all nodes of a fleet are killed at once while their team's tokens
@@ -68,24 +68,24 @@
 TEST(stock_plan, most_of_the_unspent_stays_in_the_record)
 {
     stock_state it = busy();
-    it.stockists = 1;
+    it.live_holders = 1;
     it.left = tokens(50'000);
-    const tokens wish = stock_wish(it, options);
-    CHECK(wish.count() <= 50'000 * options.most_of_unspent + 1);
+    const tokens wish = tokens_to_take(it, options);
+    CHECK(wish.count() <= 50'000 * options.max_share_of_unspent + 1);
     it.fleet_free = wish;
     it.stocked = wish;
     it.left -= wish;
-    CHECK(stock_wish(it, options) == tokens(0));
+    CHECK(tokens_to_take(it, options) == tokens(0));
 }
 
 TEST(stock_plan, the_last_tokens_go_to_whom_waits)
 {
     stock_state it = busy();
     it.left = tokens(300);
-    it.waited_for = tokens(700);
-    CHECK(stock_wish(it, options) == tokens(300));
+    it.unmet_demand = tokens(700);
+    CHECK(tokens_to_take(it, options) == tokens(300));
     it.left = tokens(0);
-    CHECK(stock_wish(it, options) == tokens(0));
+    CHECK(tokens_to_take(it, options) == tokens(0));
 }
 
 TEST(stock_plan, stockists_are_few_and_agreed_on)
@@ -98,14 +98,14 @@
     for (int i = 0; i < 200; ++i) {
         const team_id team("t" + std::to_string(i));
         const auto few =
-            stockists_of(team, holders_of(nodes, options), options);
+            holders_of(team, holder_candidates_of(nodes, options), options);
         UNSIGNED_LONGS_EQUAL(3, few.size());
-        CHECK(stockists_of(team, holders_of(reversed, options), options) ==
-              few);
+        CHECK(holders_of(team, holder_candidates_of(reversed, options),
+                         options) == few);
         for (const host_id& it : few)
             ++load[it];
     }
-    UNSIGNED_LONGS_EQUAL(options.holders, load.size());
+    UNSIGNED_LONGS_EQUAL(options.holder_candidates, load.size());
     for (const auto& [host, teams] : load)
         CHECK(teams > 30 && teams < 130);
 }
@@ -118,14 +118,14 @@
 TEST(stock_plan, a_team_close_to_its_end_stocks_little)
 {
     stock_state it = busy();
-    it.stockists = 1;
+    it.live_holders = 1;
     const auto share = [&](std::int64_t runway_s) {
         it.left = tokens(20'000 * runway_s);
-        return static_cast<double>(stock_wish(it, options).count()) /
+        return static_cast<double>(tokens_to_take(it, options).count()) /
                static_cast<double>(it.left.count());
     };
-    DOUBLES_EQUAL(options.most_of_unspent / 6, share(10), 0.001);
-    DOUBLES_EQUAL(options.most_of_unspent / 2, share(30), 0.001);
+    DOUBLES_EQUAL(options.max_share_of_unspent / 6, share(10), 0.001);
+    DOUBLES_EQUAL(options.max_share_of_unspent / 2, share(30), 0.001);
     CHECK(20'000 * 40 * share(40) >= 20'000 * 10);
 }
 
@@ -135,27 +135,28 @@
 TEST(stock_plan, an_outage_seen_before_is_stocked_for)
 {
     stock_state it = busy();
-    it.stockists = 1;
+    it.live_holders = 1;
     it.left = tokens(20'000 * 20);
     const auto seconds_stocked = [&] {
-        return static_cast<double>(stock_wish(it, options).count()) / 20'000;
+        return static_cast<double>(tokens_to_take(it, options).count()) /
+               20'000;
     };
     CHECK(seconds_stocked() < 3);
-    it.outage = seconds(8);
+    it.longest_outage = seconds(8);
     CHECK(seconds_stocked() >= 9);
     // Not all of what is left: whoever starts after a loss of all nodes finds
     // some.
     it.left = tokens(20'000 * 8);
-    DOUBLES_EQUAL(8 * options.most_for_outage, seconds_stocked(), 0.01);
+    DOUBLES_EQUAL(8 * options.max_share_for_outage, seconds_stocked(), 0.01);
 }
 
 TEST(stock_plan, an_outage_adds_nothing_where_more_is_stocked_anyway)
 {
     stock_state it = busy();
     it.left = tokens(2'400'000);
-    const tokens before = stock_wish(it, options);
-    it.outage = seconds(4);
-    CHECK(stock_wish(it, options) == before);
+    const tokens before = tokens_to_take(it, options);
+    it.longest_outage = seconds(4);
+    CHECK(tokens_to_take(it, options) == before);
 }
 
 /// All callers of a busy team keep to one host that holds no stock: 90 requests
@@ -173,21 +174,21 @@
             if (held < size) {
                 ++out;
                 held += size - held +
-                        ask_beyond(each_second * size, left, by).count();
+                        extra_to_request(each_second * size, left, by).count();
             }
             held -= size;
         }
         return out;
     };
     stock_options each_alone;
-    each_alone.ahead = duration(0);
+    each_alone.request_ahead = duration(0);
     LONGS_EQUAL(10 * each_second, questions(each_alone));
     CHECK(questions(options) <= 10);
 }
 
 TEST(stock_plan, while_tokens_are_scarce_nobody_asks_beyond_its_need)
 {
-    CHECK(ask_beyond(1e6, tokens(0), options) == tokens(0));
+    CHECK(extra_to_request(1e6, tokens(0), options) == tokens(0));
 }
 
 /// Eight nodes spend what is left of a team within seconds. Guards against the
@@ -196,8 +197,9 @@
 {
     constexpr std::int64_t left = 600'000;
     constexpr int nodes = 8;
-    std::int64_t ahead = 0;
+    std::int64_t request_ahead = 0;
     for (int i = 0; i < nodes; ++i)
-        ahead += ask_beyond(200'000, tokens(left), options).count();
-    CHECK(ahead <= left / 5);
+        request_ahead +=
+            extra_to_request(200'000, tokens(left), options).count();
+    CHECK(request_ahead <= left / 5);
 }
--- a/libs/prepaid/purse.cpp
+++ b/libs/prepaid/token_balances.cpp
@@ -1,11 +1,11 @@
-#include "fennelladder/prepaid/purse.hpp"
+#include "fennelladder/prepaid/token_balances.hpp"
 
 #include <algorithm>
 #include <cassert>
 
 namespace fennelladder::prepaid {
 
-bool purse::reserve(const team_id& team, tokens amount, instant now)
+bool token_balances::reserve(const team_id& team, tokens amount, instant now)
 {
     assert(amount >= tokens(0));
     holding& it = holdings_[team];
@@ -17,8 +17,8 @@
     return true;
 }
 
-void purse::settle(const team_id& team, tokens reserved, tokens used,
-                   instant now)
+void token_balances::settle(const team_id& team, tokens reserved, tokens used,
+                            instant now)
 {
     assert(tokens(0) <= used && used <= reserved);
     holding& it = holdings_[team];
@@ -29,13 +29,13 @@
     it.spending.add(static_cast<double>((used - reserved).count()), now);
 }
 
-void purse::credit(const team_id& team, tokens amount)
+void token_balances::credit(const team_id& team, tokens amount)
 {
     assert(amount >= tokens(0));
     holdings_[team].free += amount;
 }
 
-tokens purse::debit(const team_id& team, tokens wanted)
+tokens token_balances::debit(const team_id& team, tokens wanted)
 {
     holding& it = holdings_[team];
     const tokens given = std::min(it.free, wanted);
@@ -43,18 +43,18 @@
     return given;
 }
 
-tokens purse::debit_all(const team_id& team)
+tokens token_balances::debit_all(const team_id& team)
 {
     return debit(team, free_of(team));
 }
 
-tokens purse::free_of(const team_id& team) const
+tokens token_balances::free_of(const team_id& team) const
 {
     const auto it = holdings_.find(team);
     return it == holdings_.end() ? tokens(0) : it->second.free;
 }
 
-double purse::spending(const team_id& team, instant now) const
+double token_balances::spending(const team_id& team, instant now) const
 {
     const auto it = holdings_.find(team);
     return it == holdings_.end() ? 0 : it->second.spending.at(now);
--- a/libs/prepaid/ration.cpp
+++ b/libs/prepaid/urgency_reserve.cpp
@@ -1,15 +1,18 @@
-#include "fennelladder/prepaid/ration.hpp"
+#include "fennelladder/prepaid/urgency_reserve.hpp"
 
 namespace fennelladder::prepaid {
 
-void ration::note(const team_id& team, int urgency, tokens wanted, instant now)
+void urgency_reserve::note(const team_id& team, int urgency, tokens wanted,
+                           instant now)
 {
-    auto& rate =
-        demand_[team].try_emplace(urgency, options_.memory).first->second;
+    auto& rate = demand_[team]
+                     .try_emplace(urgency, options_.demand_memory)
+                     .first->second;
     rate.add(static_cast<double>(wanted.count()), now);
 }
 
-tokens ration::kept_back(const team_id& team, int urgency, instant now) const
+tokens urgency_reserve::kept_back(const team_id& team, int urgency,
+                                  instant now) const
 {
     const auto of_team = demand_.find(team);
     if (of_team == demand_.end())
@@ -20,7 +23,7 @@
     double a_second = 0;
     for (const auto& [other, rate] : of_team->second) {
         const double with_it = a_second + rate.at(now);
-        if (other >= urgency || with_it > all * options_.most_share)
+        if (other >= urgency || with_it > all * options_.max_share)
             break;
         a_second = with_it;
     }
--- a/libs/prepaid/ration_test.cpp
+++ b/libs/prepaid/urgency_reserve_test.cpp
@@ -1,5 +1,5 @@
 #include "fennelladder/base/random.hpp"
-#include "fennelladder/prepaid/ration.hpp"
+#include "fennelladder/prepaid/urgency_reserve.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <array>
@@ -29,7 +29,7 @@
 /// each kind. `rationed`: by ration, or as they come.
 std::array<double, traffic.size()> play_outage(bool rationed)
 {
-    ration shares({});
+    urgency_reserve shares({});
     random_source random(5);
     double all = 0;
     for (const kind& it : traffic)
@@ -63,13 +63,13 @@
 
 } // namespace
 
-TEST_GROUP(ration){};
+TEST_GROUP(urgency_reserve){};
 
 // Story: the platform is away for nine seconds, and stock for four is there.
 // Callers of all kinds were served for four seconds and refused for five; the
 // lookups for which a customer waits at the counter too, though all of them
 // together need a twelfth of the tokens.
-TEST(ration, the_urgent_are_served_throughout_an_outage)
+TEST(urgency_reserve, the_urgent_are_served_throughout_an_outage)
 {
     CHECK(play_outage(false)[0] < 0.6);
     const auto served = play_outage(true);
@@ -80,9 +80,9 @@
 }
 
 // An urgent kind that needs most of the tokens is served as it comes.
-TEST(ration, no_kind_is_starved_by_a_large_more_urgent_one)
+TEST(urgency_reserve, no_kind_is_starved_by_a_large_more_urgent_one)
 {
-    ration shares({});
+    urgency_reserve shares({});
     for (int i = 0; i < 40; ++i) {
         const instant at = start + milliseconds(100) * i;
         shares.note(team, 0, tokens(900), at);
@@ -91,7 +91,7 @@
     CHECK(shares.kept_back(team, 1, start + seconds(4)) == tokens(0));
 }
 
-TEST(ration, more_callers_are_served_than_as_they_come)
+TEST(urgency_reserve, more_callers_are_served_than_as_they_come)
 {
     double before = 0;
     double after = 0;
@@ -102,18 +102,18 @@
     CHECK(after > before);
 }
 
-TEST(ration, the_most_urgent_leave_nothing)
+TEST(urgency_reserve, the_most_urgent_leave_nothing)
 {
-    ration shares({});
+    urgency_reserve shares({});
     shares.note(team, 1, tokens(5000), start);
     CHECK(shares.kept_back(team, 0, start) == tokens(0));
     CHECK(shares.kept_back(team, 1, start) == tokens(0));
     CHECK(shares.kept_back(team_id("other"), 9, start) == tokens(0));
 }
 
-TEST(ration, demand_is_forgotten)
+TEST(urgency_reserve, demand_is_forgotten)
 {
-    ration shares({});
+    urgency_reserve shares({});
     for (int i = 0; i < 40; ++i) {
         shares.note(team, 0, tokens(100), start + milliseconds(100) * i);
         shares.note(team, 1, tokens(900), start + milliseconds(100) * i);
