--- a/include/fennelladder/dispatch/retry_budget.hpp
+++ b/include/fennelladder/dispatch/retry_budget.hpp
@@ -44,7 +44,7 @@
     /// that were long on their way here.
     double safety_factor = 0.85;
     /// Part of what is earned that may be saved up.
-    double saved = 0.5;
+    double burst_share = 0.5;
 };
 
 /// Not thread safe.
@@ -84,13 +84,13 @@
     account& account_of(const service_id& service, instant now);
     void settle(account& it, instant now) const;
     double own_slack() const;
-    double most_saved(const account& it) const;
+    double max_balance(const account& it) const;
 
     static constexpr int slices_per_window = 20;
 
     retry_budget_options options_;
     std::size_t hosts_ = 0;
-    instant hosts_known_; ///< Since when `hosts_` isn't 0.
+    instant hosts_known_since_; ///< Since when `hosts_` isn't 0.
     std::unordered_map<service_id, account> accounts_;
 };
 
--- a/include/fennelladder/dispatch/signal_state.hpp
+++ b/include/fennelladder/dispatch/signal_state.hpp
@@ -1,8 +1,8 @@
 // What one process of a target has said of itself that still holds.
 //
-//     signal_state said;
-//     signal_changes news = said.take(signals_of_answer, now);
-//     if (said.leaving() || said.rest_left(now) > duration(0)) ...
+//     signal_state signals;
+//     signal_changes news = said.apply(signals_of_answer, now);
+//     if (said.leaving() || said.backoff_left(now) > duration(0)) ...
 //
 // The signals, whom each binds, and what ends it:
 //
@@ -16,8 +16,8 @@
 //
 // Nothing else ends one. The platform's list may be older than an answer, so no
 // entry takes one back, nor does the lack of one: the state is kept for as long
-// as it holds(). Answers may come in any order, so a shorter rest doesn't end a
-// longer one. A new process begins with a new state.
+// as it is_active(). Answers may come in any order, so a shorter rest doesn't
+// end a longer one. A new process begins with a new state.
 //
 // Not thread safe.
 
@@ -51,7 +51,7 @@
 {
 public:
     /// Takes what an answer to this node says.
-    signal_changes take(const catalog::target_signals& said, instant now);
+    signal_changes apply(const catalog::target_signals& said, instant now);
 
     /// Another node was told that the process leaves. Whether that is news.
     bool apply_peer_leaving(instant now);
@@ -64,14 +64,14 @@
     void extend_cold_until(instant until);
 
     bool leaving() const { return leaving_; }
-    duration rest_left(instant now) const;
+    duration backoff_left(instant now) const;
     bool is_cold(instant now) const { return now < cold_until_; }
 
     /// Unset: none is known.
     std::optional<double> rate_limit(instant now) const;
 
     /// Since any node had a word on the limit.
-    duration limit_signal_age(instant now) const { return now - limit_said_; }
+    duration limit_signal_age(instant now) const { return now - limit_time_; }
 
     /// What this node has to tell its peers of the limit.
     std::optional<rate_signal> limit_for_peers(instant now) const;
@@ -82,19 +82,19 @@
 
     /// Whether anything was said that still counts, so that the state must
     /// outlive the target's entry.
-    bool holds(instant now) const;
+    bool is_active(instant now) const;
 
 private:
     bool leaving_ = false;
     instant leaving_heard_;     ///< Last, in whichever way.
     instant own_leaving_heard_; ///< First, by an answer to this node.
-    instant rest_until_;
+    instant backoff_until_;
     instant cold_until_;
     std::optional<double> rate_limit_; ///< By the last word any node got.
-    instant limit_said_;
+    instant limit_time_;
     std::optional<double> own_rate_; ///< By the last that this node got.
-    instant own_said_;
-    instant own_named_; ///< The last that this node got of a limit.
+    instant own_limit_time_;
+    instant own_limit_named_; ///< The last that this node got of a limit.
 };
 
 } // namespace fennelladder::dispatch
--- a/include/fennelladder/dispatch/target_registry.hpp
+++ b/include/fennelladder/dispatch/target_registry.hpp
@@ -1,12 +1,12 @@
 // What a node knows of the targets of all services, and where a request is
 // best sent.
 //
-//     book.sync(list.entries(), now);                // the platform's list
-//     auto made = book.choose(wish, now, random);
-//     book.started(*made, wish, now);
+//     registry.sync(list.entries(), now);                // the platform's list
+//     auto made = registry.choose(request, now, random);
+//     registry.started(*made, request, now);
 //     ...
-//     book.first_byte(*made, waited, now);
-//     book.finished(*made, true, target_evidence::answered, now);
+//     registry.first_byte(*made, waited, now);
+//     registry.finished(*made, true, target_evidence::answered, now);
 //
 // A choice is the target with the least predicted time until the first byte:
 //
@@ -270,10 +270,10 @@
     merge_peer_limits(const std::vector<limit_signal>& words, instant at);
 
     /// How long it takes until a target that asked for rest may be chosen, if
-    /// all others of the wish's service that could be are no choice for longer
-    /// than a moment; unset if one is, or if none will be. What was tried
-    /// already counts as well: this is for the caller's next request.
-    std::optional<duration> backoff_wait(const routing_request& wish,
+    /// all others of the request's service that could be are no choice for
+    /// longer than a moment; unset if one is, or if none will be. What was
+    /// tried already counts as well: this is for the caller's next request.
+    std::optional<duration> backoff_wait(const routing_request& request,
                                          instant now) const;
 
     /// Targets that have told this node lately that they leave, and whose
@@ -287,12 +287,12 @@
                        instant now);
 
     /// The best target, or nothing when the service has none to offer.
-    std::optional<choice> choose(const routing_request& wish, instant now,
+    std::optional<choice> choose(const routing_request& request, instant now,
                                  random_source& random);
 
-    /// Why choose() finds nothing for this wish, by the target that was nearest
-    /// to be chosen.
-    no_target_reason why_no_target(const routing_request& wish,
+    /// Why choose() finds nothing for this request, by the target that was
+    /// nearest to be chosen.
+    no_target_reason why_no_target(const routing_request& request,
                                    instant now) const;
 
     /// A request was sent. Every started() is followed by one finished() with
@@ -330,7 +330,7 @@
     std::size_t count(const service_id& service) const;
 
 private:
-    struct fading_average
+    struct decaying_average
     {
         double value = 0;
         instant at;
@@ -339,71 +339,76 @@
     struct target_state
     {
         catalog::target_entry entry;
-        std::optional<instant> use_until; ///< Left the list in doubt.
-        bool gone = false;                ///< Left the list.
-        bool other_life = false;          ///< Its address is another's.
+        std::optional<instant> usable_until; ///< Left the list in doubt.
+        bool gone = false;                   ///< Left the list.
+        bool address_reused = false;         ///< Its address is another's.
         int running = 0;
         std::int64_t reading = 0;
         int peers_running = 0;
         std::int64_t peers_reading = 0;
-        fading_average log_slowness; ///< Natural logarithm; 0: as predicted.
-        fading_average failures;     ///< Share, 0 to 1.
-        instant rest_until;
-        int unread = 0;      ///< Requests without a first byte.
-        instant quiet_since; ///< Nothing came since, or nothing was waited for.
-        int rests = 0;       ///< In a row.
-        bool on_trial = false; ///< It had asked for rest and took none since.
-        bool trying = false;   ///< One request finds out whether it works.
+        decaying_average log_slowness; ///< Natural logarithm; 0: as predicted.
+        decaying_average failures;     ///< Share, 0 to 1.
+        instant backoff_until;
+        int awaiting_first_byte = 0; ///< Requests without a first byte.
+        instant
+            silent_since; ///< Nothing came since, or nothing was waited for.
+        int consecutive_backoffs = 0; ///< In a row.
+        bool probe_pending =
+            false; ///< It had asked for rest and took none since.
+        bool probe_running = false; ///< One request finds out whether it works.
         std::unordered_map<std::uint64_t, instant> parts; ///< Last use.
-        signal_state said;     ///< By the process itself.
-        instant suspect_until; ///< It may have started anew, unannounced.
-        recent_sends sends;    ///< While it is rationed.
+        signal_state signals;     ///< By the process itself.
+        instant maybe_cold_until; ///< It may have started anew, unannounced.
+        recent_sends sends;       ///< While it is rationed.
     };
 
     using state_map = std::map<target_id, target_state>;
 
-    double faded(const fading_average& of, instant now) const;
-    void observe(fading_average& of, double value, instant now) const;
+    double decayed(const decaying_average& of, instant now) const;
+    void observe(decaying_average& of, double value, instant now) const;
     static bool is_gone(const target_state& it, instant now);
     static bool is_leaving(const target_state& it);
     bool is_evacuated(const target_state& it) const;
     bool usable(const target_state& it, instant now) const;
-    std::optional<no_target_reason> what_bars(const target_state& it,
-                                              const routing_request& wish,
-                                              instant now) const;
+    std::optional<no_target_reason>
+    exclusion_reason(const target_state& it, const routing_request& request,
+                     instant now) const;
     const cold_start_profile* traits_of(const target_state& it) const;
     std::optional<std::uint32_t> cold_quota(const target_state& it,
                                             instant now) const;
-    bool is_cold_to_us(const target_state& it, instant now) const;
+    bool cold_quota_used_up(const target_state& it, instant now) const;
     std::optional<std::uint32_t> limited_quota(const target_state& it,
                                                instant now) const;
-    bool is_limited_to_us(const target_state& it, instant now) const;
-    bool is_outside(const target_state& it, const routing_request& wish) const;
-    bool was_tried(const target_state& it, const routing_request& wish) const;
-    void suspect_start(target_state& it, instant now) const;
-    bool resting(const target_state& it, instant now) const;
-    static bool asked_for_rest(const target_state& it, instant now);
-    static void end_trial(target_state& it, instant now);
-    bool is_quiet(const target_state& it, instant now) const;
-    std::uint32_t held(const target_state& it, const routing_request& wish,
-                       bool expected_here, instant now) const;
+    bool limited_quota_used_up(const target_state& it, instant now) const;
+    bool is_outside(const target_state& it,
+                    const routing_request& request) const;
+    bool was_tried(const target_state& it,
+                   const routing_request& request) const;
+    void suspect_restart(target_state& it, instant now) const;
+    bool is_backing_off(const target_state& it, instant now) const;
+    static bool backoff_requested(const target_state& it, instant now);
+    static void end_probe(target_state& it, instant now);
+    bool is_silent(const target_state& it, instant now) const;
+    std::uint32_t held_tokens(const target_state& it,
+                              const routing_request& request,
+                              bool expected_here, instant now) const;
     const target_state*
     expected_holder(const std::vector<target_state*>& candidates,
-                    const routing_request& wish, instant now) const;
+                    const routing_request& request, instant now) const;
     double predicted_seconds(const target_state& it,
-                             const routing_request& wish,
+                             const routing_request& request,
                              std::uint32_t reading) const;
-    double cost(const target_state& it, const routing_request& wish,
+    double cost(const target_state& it, const routing_request& request,
                 double predicted, instant now) const;
-    void rest(target_state& it, duration first, instant now);
-    static void hear(target_state& it, instant now);
-    void forget_parts(target_state& it, instant now) const;
+    void back_off(target_state& it, duration first, instant now);
+    static void mark_active(target_state& it, instant now);
+    void trim_parts(target_state& it, instant now) const;
     /// Null unless this process is the one that is known of its id.
     target_state* find(const catalog::target_process& target);
     target_state* find(const target_load& load);
-    static void take_entry(target_state& it, const catalog::target_entry& entry,
-                           instant now,
-                           std::vector<catalog::target_entry>& replaced);
+    static void apply_entry(target_state& it,
+                            const catalog::target_entry& entry, instant now,
+                            std::vector<catalog::target_entry>& replaced);
     static void forget_address(target_state& it);
     void recount_peers();
     void add_peer(const std::vector<target_load>& load, int sign);
--- a/include/fennelladder/prepaid/loss_tracker.hpp
+++ b/include/fennelladder/prepaid/loss_tracker.hpp
@@ -59,7 +59,7 @@
 private:
     loss_tracker_options options_;
     instant started_;
-    bool presumes_all_;  ///< Until an older node is heard, all died.
+    bool assumes_total_loss_;  ///< Until an older node is heard, all died.
     double counted_ = 0; ///< As of `changed_`.
     instant changed_;
 };
--- a/libs/dispatch/assignment_table.cpp
+++ b/libs/dispatch/assignment_table.cpp
@@ -18,7 +18,7 @@
 }
 
 /// Ranks kept; targets come and go.
-constexpr std::size_t most_ranks = 4096;
+constexpr std::size_t max_ranks = 4096;
 
 bool contains(const std::vector<host_id>& hosts, const host_id& host)
 {
@@ -48,7 +48,7 @@
 std::size_t assignment_table::rank(const target_id& target) const
 {
     assert(is_first_ || is_rest_);
-    if (ranks_.size() >= most_ranks)
+    if (ranks_.size() >= max_ranks)
         ranks_.clear();
     const auto [it, is_new] = ranks_.try_emplace(target);
     if (is_new)
--- a/libs/dispatch/attempt_policy_test.cpp
+++ b/libs/dispatch/attempt_policy_test.cpp
@@ -138,7 +138,7 @@
 
 /// The callers of one team fill a host's link, on which everything waits.
 /// Guards against final answers that come long after the route's timeout, as
-/// the time that a request waits unread counts for nobody.
+/// the time that a request waits awaiting_first_byte counts for nobody.
 TEST(attempt_policy, a_final_answer_over_a_full_link_arrives_in_time)
 {
     const duration timeout = milliseconds(1200);
--- a/libs/dispatch/limited_target_test.cpp
+++ b/libs/dispatch/limited_target_test.cpp
@@ -97,7 +97,7 @@
 private:
     struct node
     {
-        target_registry book;
+        target_registry registry;
         double told = 1e9; ///< When it first got an answer with the limit.
     };
 
@@ -106,8 +106,8 @@
         target_registry_options options;
         options.self = host(n);
         node out{target_registry(options)};
-        out.book.sync({{needy, sample_engine(1, 24)}}, false, start);
-        out.book.set_assignable_hosts(std::move(known));
+        out.registry.sync({{needy, sample_engine(1, 24)}}, false, start);
+        out.registry.set_assignable_hosts(std::move(known));
         return out;
     }
 
@@ -120,27 +120,27 @@
         next_words_s_ = now_ + words_period_s;
         for (const auto& words : words_)
             for (node& it : nodes_)
-                it.book.merge_peer_limits(words, words_at_);
+                it.registry.merge_peer_limits(words, words_at_);
         words_.clear();
         words_at_ = at();
         for (const node& it : nodes_)
-            words_.push_back(it.book.own_limits(at()));
+            words_.push_back(it.registry.own_limits(at()));
     }
 
     void send(node& by, random_source& random)
     {
-        routing_request wish;
-        wish.service = llm;
-        const auto made = by.book.choose(wish, at(), random);
+        routing_request request;
+        request.service = llm;
+        const auto made = by.registry.choose(request, at(), random);
         if (!made)
             return;
-        by.book.started(*made, wish, at());
-        by.book.finished(*made, false, target_evidence::answered, at());
+        by.registry.started(*made, request, at());
+        by.registry.finished(*made, false, target_evidence::answered, at());
         all_.push_back(now_);
         if (now_ >= by.told + 0.5)
             counted_.push_back(now_);
         const bool names = now_ < ends_s;
-        by.book.note_signals(
+        by.registry.note_signals(
             {needy, {}},
             signals_of(names ? std::optional(options_.rate) : std::nullopt),
             at());
@@ -232,15 +232,16 @@
 // Guards against a word that is older than the last and brings a limit back.
 TEST(limited_target, an_older_word_changes_nothing)
 {
-    target_registry book({.self = host(0)});
-    book.sync({{needy, sample_engine(1, 24)}}, false, start);
+    target_registry registry({.self = host(0)});
+    registry.sync({{needy, sample_engine(1, 24)}}, false, start);
     const auto note = [&](std::optional<double> rate, instant at) {
-        return book.note_signals({needy, {}}, signals_of(rate), at).rate_limit;
+        return registry.note_signals({needy, {}}, signals_of(rate), at)
+            .rate_limit;
     };
     CHECK(note(1.0, start));
     CHECK(note(std::nullopt, start + seconds(2)));
     const limit_signal late{needy, {}, 1.0, seconds(1)};
-    CHECK(book.merge_peer_limits({late}, start + seconds(2)).empty());
+    CHECK(registry.merge_peer_limits({late}, start + seconds(2)).empty());
     UNSIGNED_LONGS_EQUAL(
-        1, book.merge_peer_limits({late}, start + seconds(4)).size());
+        1, registry.merge_peer_limits({late}, start + seconds(4)).size());
 }
--- a/libs/dispatch/restricted_targets_test.cpp
+++ b/libs/dispatch/restricted_targets_test.cpp
@@ -62,24 +62,25 @@
 
 TEST_GROUP(restricted_targets)
 {
-    target_registry book{options_of("a")};
+    target_registry registry{options_of("a")};
     random_source random{1};
-    routing_request wish = small_prompt(5);
+    routing_request request = small_prompt(5);
     std::uint64_t last_part = 100; ///< Of the prompts sent.
 
     void setup() override
     {
-        book.sync(targets(9, 3), false, start);
+        registry.sync(targets(9, 3), false, start);
     }
 
     void traits()
     {
-        book.set_cold_start_profiles({{service_id("llm"), {cold_for, limit}}});
+        registry.set_cold_start_profiles(
+            {{service_id("llm"), {cold_for, limit}}});
     }
 
     data_center_id chosen_place(instant now = start)
     {
-        const auto made = book.choose(wish, now, random);
+        const auto made = registry.choose(request, now, random);
         return made ? made->data_center : data_center_id();
     }
 
@@ -105,64 +106,68 @@
     {
         const catalog::target_process process{
             target_id("i-" + std::to_string(i)), {}};
-        book.note_evidence(process, target_evidence::unreachable, now);
-        book.note_evidence(process, target_evidence::answered,
-                           now + seconds(1));
+        registry.note_evidence(process, target_evidence::unreachable, now);
+        registry.note_evidence(process, target_evidence::answered,
+                               now + seconds(1));
     }
 };
 
 TEST(restricted_targets, an_evacuated_data_centre_gets_nothing)
 {
-    book.set_evacuated({place(0), place(2)}, start);
+    registry.set_evacuated({place(0), place(2)}, start);
     for (int i = 0; i < 50; ++i) {
-        wish = small_prompt(static_cast<std::uint64_t>(i));
+        request = small_prompt(static_cast<std::uint64_t>(i));
         CHECK(chosen_place() == place(1));
     }
-    CHECK(!book.may_use(target_id("i-0"), start));
-    CHECK(book.may_use(target_id("i-1"), start));
+    CHECK(!registry.may_use(target_id("i-0"), start));
+    CHECK(registry.may_use(target_id("i-1"), start));
 }
 
 TEST(restricted_targets, of_no_data_centre_left_the_reason_is_known)
 {
-    book.set_evacuated({place(0), place(1), place(2)}, start);
-    CHECK(!book.choose(wish, start, random).has_value());
-    CHECK(book.why_no_target(wish, start) == no_target_reason::evacuated);
-    book.set_evacuated({}, start);
-    CHECK(book.choose(wish, start, random).has_value());
+    registry.set_evacuated({place(0), place(1), place(2)}, start);
+    CHECK(!registry.choose(request, start, random).has_value());
+    CHECK(registry.why_no_target(request, start) ==
+          no_target_reason::evacuated);
+    registry.set_evacuated({}, start);
+    CHECK(registry.choose(request, start, random).has_value());
 }
 
 // Guards against a refusal that names an evacuation where targets' entries
 // lapsed while the platform was unwell.
 TEST(restricted_targets, a_target_whose_entry_lapsed_isnt_called_evacuated)
 {
-    book.sync({}, true, start);
+    registry.sync({}, true, start);
     const instant later = start + seconds(10);
-    CHECK(!book.choose(wish, later, random).has_value());
-    CHECK(book.why_no_target(wish, later) == no_target_reason::none_usable);
+    CHECK(!registry.choose(request, later, random).has_value());
+    CHECK(registry.why_no_target(request, later) ==
+          no_target_reason::none_usable);
 }
 
 TEST(restricted_targets, an_evacuation_of_an_unknown_place_changes_nothing)
 {
-    UNSIGNED_LONGS_EQUAL(0, book.set_evacuated({data_center_id("x")}, start));
-    CHECK(book.choose(wish, start, random).has_value());
+    UNSIGNED_LONGS_EQUAL(0,
+                         registry.set_evacuated({data_center_id("x")}, start));
+    CHECK(registry.choose(request, start, random).has_value());
 }
 
 // Guards against targets of an evacuated data centre that come while it lasts.
 TEST(restricted_targets, new_targets_of_an_evacuated_data_centre_get_nothing)
 {
-    book.set_evacuated({place(0), place(1)}, start);
-    book.sync(targets(30, 3), false, start);
+    registry.set_evacuated({place(0), place(1)}, start);
+    registry.sync(targets(30, 3), false, start);
     for (int i = 0; i < 50; ++i)
         CHECK(chosen_place() == place(2));
 }
 
 TEST(restricted_targets, only_the_regions_allowed_are_used)
 {
-    wish.regions = std::vector{region_id("q")};
+    request.regions = std::vector{region_id("q")};
     CHECK(chosen_place() == place(2));
-    wish.regions = std::vector<region_id>();
+    request.regions = std::vector<region_id>();
     CHECK(chosen_place() == data_center_id());
-    CHECK(book.why_no_target(wish, start) == no_target_reason::outside_regions);
+    CHECK(registry.why_no_target(request, start) ==
+          no_target_reason::outside_regions);
 }
 
 // Guards against a target of which nobody knows the region.
@@ -171,38 +176,38 @@
     auto listed = targets(3, 1);
     for (auto& [id, entry] : listed)
         entry.data_center = data_center_id("unknown");
-    book.sync(listed, false, start);
-    wish.regions = std::vector{region_id("r"), region_id("q")};
-    CHECK(!book.choose(wish, start, random).has_value());
+    registry.sync(listed, false, start);
+    request.regions = std::vector{region_id("r"), region_id("q")};
+    CHECK(!registry.choose(request, start, random).has_value());
 }
 
 // Guards against a herd at a target that is back and looks idle.
 TEST(restricted_targets, a_cold_target_gets_its_share_in_any_second)
 {
     traits();
-    book.set_assignable_hosts({host_id("a")});
+    registry.set_assignable_hosts({host_id("a")});
     auto listed = targets(2, 1);
     listed.at(target_id("i-0")).warm_up_left = cold_for;
-    book.sync(listed, false, start);
-    const auto got = send(book, 500, start);
+    registry.sync(listed, false, start);
+    const auto got = send(registry, 500, start);
     CHECK(got.at(target_id("i-0")) > 0);
     CHECK(got.at(target_id("i-0")) <= 12);
     // Warm by its own word.
-    const auto later = send(book, 500, start + cold_for + seconds(1));
+    const auto later = send(registry, 500, start + cold_for + seconds(1));
     CHECK(later.at(target_id("i-0")) > 100);
 }
 
 TEST(restricted_targets, nodes_that_dont_carry_it_send_a_cold_target_nothing)
 {
     traits();
-    book.set_assignable_hosts({});
+    registry.set_assignable_hosts({});
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
         entry.warm_up_left = cold_for;
-    book.sync(listed, false, start);
-    CHECK(!book.choose(wish, start, random).has_value());
-    CHECK(book.why_no_target(wish, start) == no_target_reason::cold);
-    CHECK(book.choose(wish, start + cold_for, random).has_value());
+    registry.sync(listed, false, start);
+    CHECK(!registry.choose(request, start, random).has_value());
+    CHECK(registry.why_no_target(request, start) == no_target_reason::cold);
+    CHECK(registry.choose(request, start + cold_for, random).has_value());
 }
 
 TEST(restricted_targets, services_without_a_rate_know_no_cold_targets)
@@ -210,8 +215,8 @@
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
         entry.warm_up_left = cold_for;
-    book.sync(listed, false, start);
-    CHECK(book.choose(wish, start, random).has_value());
+    registry.sync(listed, false, start);
+    CHECK(registry.choose(request, start, random).has_value());
 }
 
 // Guards against an entry that is listed again and again with the same words:
@@ -222,16 +227,17 @@
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
         entry.warm_up_left = cold_for;
-    book.sync(listed, false, start);
-    book.sync(listed, false, start + seconds(2));
-    CHECK(book.choose(wish, start + cold_for, random).has_value());
+    registry.sync(listed, false, start);
+    registry.sync(listed, false, start + seconds(2));
+    CHECK(registry.choose(request, start + cold_for, random).has_value());
 }
 
 TEST(restricted_targets, a_target_may_say_that_it_is_cold)
 {
     traits();
-    book.note_signals({target_id("i-0"), {}}, {.cold_left = cold_for}, start);
-    const auto got = send(book, 100, start);
+    registry.note_signals({target_id("i-0"), {}}, {.cold_left = cold_for},
+                          start);
+    const auto got = send(registry, 100, start);
     CHECK(!got.contains(target_id("i-0")));
 }
 
@@ -240,12 +246,12 @@
 TEST(restricted_targets, a_target_that_is_back_gets_one_request_a_second)
 {
     traits();
-    book.set_assignable_hosts({host_id("a")});
-    book.sync(targets(1, 1), false, start);
+    registry.set_assignable_hosts({host_id("a")});
+    registry.sync(targets(1, 1), false, start);
     back_after_a_rest(0, start);
-    const auto got = send(book, 500, start + seconds(1));
+    const auto got = send(registry, 500, start + seconds(1));
     CHECK_EQUAL(1, got.at(target_id("i-0")));
-    const auto later = send(book, 500, start + seconds(1) + cold_for);
+    const auto later = send(registry, 500, start + seconds(1) + cold_for);
     CHECK_EQUAL(500, later.at(target_id("i-0")));
 }
 
--- a/libs/dispatch/retry_budget.cpp
+++ b/libs/dispatch/retry_budget.cpp
@@ -16,12 +16,12 @@
     return hosts_ == 0 ? 0 : options_.slack / static_cast<double>(hosts_);
 }
 
-double retry_budget::most_saved(const account& it) const
+double retry_budget::max_balance(const account& it) const
 {
     int requests = 0;
     for (const slice& one : it.slices)
         requests += one.requests;
-    return options_.safety_factor * options_.saved *
+    return options_.safety_factor * options_.burst_share *
            (options_.share * requests + own_slack());
 }
 
@@ -33,9 +33,9 @@
         it.slices.pop_front();
     const double windows = std::max(
         to_seconds(now - it.settled) / to_seconds(options_.window), 0.0);
-    it.balance +=
-        options_.safety_factor * (1 - options_.saved) * own_slack() * windows;
-    it.balance = std::min(it.balance, most_saved(it));
+    it.balance += options_.safety_factor * (1 - options_.burst_share) *
+                  own_slack() * windows;
+    it.balance = std::min(it.balance, max_balance(it));
     it.settled = now;
 }
 
@@ -44,7 +44,7 @@
 {
     const auto [it, is_new] = accounts_.try_emplace(service);
     if (is_new)
-        it->second.settled = hosts_ == 0 ? now : hosts_known_;
+        it->second.settled = hosts_ == 0 ? now : hosts_known_since_;
     settle(it->second, now);
     return it->second;
 }
@@ -56,7 +56,7 @@
     for (auto& [service, it] : accounts_)
         settle(it, now);
     if (hosts_ == 0)
-        hosts_known_ = now;
+        hosts_known_since_ = now;
     hosts_ = hosts;
 }
 
@@ -73,8 +73,8 @@
         it.slices.push_back({now, 0});
     ++it.slices.back().requests;
     it.balance +=
-        options_.safety_factor * (1 - options_.saved) * options_.share;
-    it.balance = std::min(it.balance, most_saved(it));
+        options_.safety_factor * (1 - options_.burst_share) * options_.share;
+    it.balance = std::min(it.balance, max_balance(it));
 }
 
 bool retry_budget::take_retry(const service_id& service, instant now)
--- a/libs/dispatch/signal_state.cpp
+++ b/libs/dispatch/signal_state.cpp
@@ -16,7 +16,7 @@
 constexpr duration leaving_memory = minutes(10);
 
 /// For how long a signal is told to peers.
-constexpr duration news_span = seconds(10);
+constexpr duration peer_report_span = seconds(10);
 
 bool is_within(instant said, duration span, instant now)
 {
@@ -25,8 +25,8 @@
 
 } // namespace
 
-signal_changes signal_state::take(const catalog::target_signals& said,
-                                  instant now)
+signal_changes signal_state::apply(const catalog::target_signals& said,
+                                   instant now)
 {
     signal_changes out;
     if (said.leaving) {
@@ -34,17 +34,17 @@
         if (own_leaving_heard_ == instant())
             own_leaving_heard_ = now;
     }
-    if (said.rest && now + *said.rest > rest_until_) {
-        rest_until_ = now + *said.rest;
+    if (said.rest && now + *said.rest > backoff_until_) {
+        backoff_until_ = now + *said.rest;
         out.rest = true;
     }
     if (said.cold_left)
         extend_cold_until(now + *said.cold_left);
     if (said.rate_limit || said.is_latest) {
         own_rate_ = said.rate_limit;
-        own_said_ = now;
+        own_limit_time_ = now;
         if (own_rate_)
-            own_named_ = now;
+            own_limit_named_ = now;
         out.rate_limit = apply_peer_limit(own_rate_, now);
     }
     return out;
@@ -58,9 +58,9 @@
 
 bool signal_state::apply_peer_limit(std::optional<double> rate, instant at)
 {
-    if (at < limit_said_)
+    if (at < limit_time_)
         return false;
-    limit_said_ = at;
+    limit_time_ = at;
     return std::exchange(rate_limit_, rate) != rate;
 }
 
@@ -69,9 +69,9 @@
     cold_until_ = std::max(cold_until_, until);
 }
 
-duration signal_state::rest_left(instant now) const
+duration signal_state::backoff_left(instant now) const
 {
-    return std::max<duration>(rest_until_ - now, duration(0));
+    return std::max<duration>(backoff_until_ - now, duration(0));
 }
 
 std::optional<double> signal_state::rate_limit(instant now) const
@@ -81,22 +81,22 @@
 
 std::optional<rate_signal> signal_state::limit_for_peers(instant now) const
 {
-    if (!is_within(own_named_, news_span, now))
+    if (!is_within(own_limit_named_, peer_report_span, now))
         return std::nullopt;
-    return rate_signal{own_rate_, now - own_said_};
+    return rate_signal{own_rate_, now - own_limit_time_};
 }
 
 std::optional<duration> signal_state::leaving_for_peers(instant now) const
 {
-    if (!is_within(own_leaving_heard_, news_span, now))
+    if (!is_within(own_leaving_heard_, peer_report_span, now))
         return std::nullopt;
     return now - own_leaving_heard_;
 }
 
-bool signal_state::holds(instant now) const
+bool signal_state::is_active(instant now) const
 {
     return is_within(leaving_heard_, leaving_memory, now) ||
-           rest_left(now) > duration(0) || is_cold(now) || rate_limit(now);
+           backoff_left(now) > duration(0) || is_cold(now) || rate_limit(now);
 }
 
 } // namespace fennelladder::dispatch
--- a/libs/dispatch/target_choice.cpp
+++ b/libs/dispatch/target_choice.cpp
@@ -39,36 +39,38 @@
 
 /// Tokens of the prompt that the target holds. A part counts only if all parts
 /// before it are held.
-std::uint32_t target_registry::held(const target_state& it,
-                                    const routing_request& wish,
-                                    bool expected_here, instant now) const
+std::uint32_t target_registry::held_tokens(const target_state& it,
+                                           const routing_request& request,
+                                           bool expected_here,
+                                           instant now) const
 {
     std::uint32_t out = 0;
-    for (std::size_t i = 0; i < wish.prompt.size(); ++i) {
-        const bool own = i + 1 == wish.prompt.size() && i > 0;
-        const auto known = it.parts.find(wish.prompt[i].id);
+    for (std::size_t i = 0; i < request.prompt.size(); ++i) {
+        const bool own = i + 1 == request.prompt.size() && i > 0;
+        const auto known = it.parts.find(request.prompt[i].id);
         const bool used = known != it.parts.end() &&
                           now - known->second < options_.part_retention;
         if (!used && (own || !expected_here))
             break;
-        out += wish.prompt[i].size;
+        out += request.prompt[i].size;
     }
-    return std::min(out, wish.prompt_size);
+    return std::min(out, request.prompt_size);
 }
 
 /// Where all nodes expect the shared parts of the prompt.
 const target_registry::target_state*
 target_registry::expected_holder(const std::vector<target_state*>& candidates,
-                                 const routing_request& wish, instant now) const
+                                 const routing_request& request,
+                                 instant now) const
 {
-    const auto part = affinity_part(wish.prompt);
+    const auto part = affinity_part(request.prompt);
     const target_state* out = nullptr;
     std::uint64_t best = 0;
     if (!part || !options_.predicts_part_holders)
         return out;
     for (const target_state* it : candidates) {
         const std::uint64_t rank = weight(*part, it->entry.id);
-        if (!resting(*it, now) && (out == nullptr || rank > best)) {
+        if (!is_backing_off(*it, now) && (out == nullptr || rank > best)) {
             out = it;
             best = rank;
         }
@@ -77,11 +79,11 @@
 }
 
 double target_registry::predicted_seconds(const target_state& it,
-                                          const routing_request& wish,
+                                          const routing_request& request,
                                           std::uint32_t reading) const
 {
     const int running = it.running + it.peers_running;
-    if (!wish.on_engine) {
+    if (!request.on_engine) {
         const double queue =
             static_cast<double>(running) / std::max(it.entry.slots, 1U);
         return to_seconds(options_.plain_service_time) * (1 + queue);
@@ -93,119 +95,121 @@
 }
 
 double target_registry::cost(const target_state& it,
-                             const routing_request& wish, double predicted,
+                             const routing_request& request, double predicted,
                              instant now) const
 {
-    const double slowness = std::exp(faded(it.log_slowness, now));
-    const double objective = std::max(to_seconds(wish.objective), 0.05);
+    const double slowness = std::exp(decayed(it.log_slowness, now));
+    const double objective = std::max(to_seconds(request.objective), 0.05);
     double out = predicted * slowness +
-                 faded(it.failures, now) * options_.failure_cost * objective;
+                 decayed(it.failures, now) * options_.failure_cost * objective;
     if (it.entry.data_center != options_.own_data_center)
         out += to_seconds(options_.remote_penalty);
     return out;
 }
 
 bool target_registry::was_tried(const target_state& it,
-                                const routing_request& wish) const
+                                const routing_request& request) const
 {
-    return std::ranges::find(wish.avoid, it.entry.process()) !=
-           wish.avoid.end();
+    return std::ranges::find(request.avoid, it.entry.process()) !=
+           request.avoid.end();
 }
 
 /// A data centre of which no region is known is in none of those allowed.
 bool target_registry::is_outside(const target_state& it,
-                                 const routing_request& wish) const
+                                 const routing_request& request) const
 {
-    if (!wish.regions)
+    if (!request.regions)
         return false;
     const auto region = options_.regions.find(it.entry.data_center);
     return region == options_.regions.end() ||
-           std::ranges::find(*wish.regions, region->second) ==
-               wish.regions->end();
+           std::ranges::find(*request.regions, region->second) ==
+               request.regions->end();
 }
 
-/// Why the target is no choice for this wish; nothing if it is one.
-std::optional<no_target_reason>
-target_registry::what_bars(const target_state& it, const routing_request& wish,
-                           instant now) const
+/// Why the target is no choice for this request; nothing if it is one.
+std::optional<no_target_reason> target_registry::exclusion_reason(
+    const target_state& it, const routing_request& request, instant now) const
 {
-    if (is_gone(it, now) || was_tried(it, wish))
+    if (is_gone(it, now) || was_tried(it, request))
         return no_target_reason::none_usable;
     if (is_leaving(it))
         return no_target_reason::leaving;
-    if (is_outside(it, wish))
+    if (is_outside(it, request))
         return no_target_reason::outside_regions;
     if (is_evacuated(it))
         return no_target_reason::evacuated;
-    if (is_cold_to_us(it, now))
+    if (cold_quota_used_up(it, now))
         return no_target_reason::cold;
-    if (asked_for_rest(it, now))
+    if (backoff_requested(it, now))
         return no_target_reason::backing_off;
-    if (is_limited_to_us(it, now))
+    if (limited_quota_used_up(it, now))
         return no_target_reason::limited;
     return std::nullopt;
 }
 
-no_target_reason target_registry::why_no_target(const routing_request& wish,
+no_target_reason target_registry::why_no_target(const routing_request& request,
                                                 instant now) const
 {
     no_target_reason out = no_target_reason::none_usable;
-    const auto known = by_service_.find(wish.service);
+    const auto known = by_service_.find(request.service);
     if (known == by_service_.end())
         return out;
     for (const target_id& id : known->second)
-        if (const auto bar = what_bars(targets_.at(id), wish, now))
+        if (const auto bar = exclusion_reason(targets_.at(id), request, now))
             out = std::max(out, *bar);
     return out;
 }
 
 std::optional<duration>
-target_registry::backoff_wait(const routing_request& wish, instant now) const
+target_registry::backoff_wait(const routing_request& request, instant now) const
 {
     std::optional<duration> out;
-    const auto known = by_service_.find(wish.service);
+    const auto known = by_service_.find(request.service);
     if (known == by_service_.end())
         return out;
-    routing_request any = wish;
+    routing_request any = request;
     any.avoid.clear();
     for (const target_id& id : known->second) {
         const target_state& it = targets_.at(id);
-        const auto bar = what_bars(it, any, now);
+        const auto bar = exclusion_reason(it, any, now);
         if (!bar || *bar == no_target_reason::cold ||
             *bar == no_target_reason::limited)
             return std::nullopt;
         if (*bar != no_target_reason::backing_off)
             continue;
-        const duration left = it.said.rest_left(now);
+        const duration left = it.signals.backoff_left(now);
         out = out ? std::min(*out, left) : left;
     }
     return out;
 }
 
-std::optional<choice> target_registry::choose(const routing_request& wish,
+std::optional<choice> target_registry::choose(const routing_request& request,
                                               instant now,
                                               random_source& random)
 {
-    const auto known = by_service_.find(wish.service);
+    const auto known = by_service_.find(request.service);
     if (known == by_service_.end())
         return std::nullopt;
     std::vector<target_state*> candidates;
     for (const target_id& id : known->second) {
         target_state& it = targets_[id];
-        if (!what_bars(it, wish, now))
+        if (!exclusion_reason(it, request, now))
             candidates.push_back(&it);
     }
     if (candidates.empty())
         return std::nullopt;
     // Resting targets are used only when all others are ruled out.
-    const bool all_rest = std::ranges::all_of(
-        candidates, [&](const target_state* it) { return resting(*it, now); });
-    const target_state* expected = expected_holder(candidates, wish, now);
+    const bool all_backing_off =
+        std::ranges::all_of(candidates, [&](const target_state* it) {
+            return is_backing_off(*it, now);
+        });
+    const target_state* expected = expected_holder(candidates, request, now);
     const target_state* holder = nullptr;
     std::uint32_t held_most = 0;
     for (const target_state* it : candidates) {
-        const std::uint32_t there = held(*it, wish, it == expected, now);
-        if (there > held_most && !resting(*it, now)) {
+        const std::uint32_t there =
+            held_tokens(*it, request, it == expected, now);
+        if (there > held_most && !is_backing_off(*it, now)) {
             holder = it;
             held_most = there;
         }
@@ -216,21 +220,22 @@
     const std::size_t first = random.below(candidates.size());
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const target_state* it = candidates[(first + i) % candidates.size()];
-        if (!all_rest && resting(*it, now))
+        if (!all_backing_off && is_backing_off(*it, now))
             continue;
-        const std::uint32_t here = held(*it, wish, it == expected, now);
-        const std::uint32_t reading = wish.prompt_size - here;
+        const std::uint32_t here =
+            held_tokens(*it, request, it == expected, now);
+        const std::uint32_t reading = request.prompt_size - here;
         const std::uint32_t fetched =
             held_most > here + options_.min_fetch_tokens ? held_most - here : 0;
         // A holder may have lost the part, and a part that lies in two places
         // is soon found in neither: the choice counts it as read in full, and
         // shared parts more than the request's own.
-        const std::uint32_t shared = shared_size(wish.prompt);
+        const std::uint32_t shared = shared_size(request.prompt);
         const double again = shared > here ? shared - here : 0;
         const auto weighed = static_cast<std::uint32_t>(
             reading + again * (options_.shared_weight - 1));
         const double price =
-            cost(*it, wish, predicted_seconds(*it, wish, weighed), now);
+            cost(*it, request, predicted_seconds(*it, request, weighed), now);
         if (chosen != nullptr && price >= out.cost)
             continue;
         chosen = it;
@@ -238,7 +243,7 @@
         out.work.reading = reading - static_cast<std::uint32_t>(
                                          fetched * (1 - options_.fetch_cost));
         out.predicted =
-            from_seconds(predicted_seconds(*it, wish, out.work.reading));
+            from_seconds(predicted_seconds(*it, request, out.work.reading));
         out.fetch_from = fetched > 0 ? holder->entry.address : std::string();
     }
     assert(chosen != nullptr);
--- a/libs/dispatch/target_quotas.cpp
+++ b/libs/dispatch/target_quotas.cpp
@@ -32,9 +32,9 @@
 std::optional<std::uint32_t> target_registry::cold_quota(const target_state& it,
                                                          instant now) const
 {
-    const bool cold = it.said.is_cold(now);
+    const bool cold = it.signals.is_cold(now);
     const cold_start_profile* traits =
-        cold || now < it.suspect_until ? traits_of(it) : nullptr;
+        cold || now < it.maybe_cold_until ? traits_of(it) : nullptr;
     if (traits == nullptr)
         return std::nullopt;
     const std::uint32_t share =
@@ -43,7 +43,8 @@
 }
 
 /// Whether this node has sent the target all that it may while it is cold.
-bool target_registry::is_cold_to_us(const target_state& it, instant now) const
+bool target_registry::cold_quota_used_up(const target_state& it,
+                                         instant now) const
 {
     const auto share = cold_quota(it, now);
     return share && it.sends.count(now, cold_window) >= *share;
@@ -54,15 +55,15 @@
 std::optional<std::uint32_t>
 target_registry::limited_quota(const target_state& it, instant now) const
 {
-    const auto rate = it.said.rate_limit(now);
+    const auto rate = it.signals.rate_limit(now);
     if (!rate)
         return std::nullopt;
     return carriers_.limited_quota(it.entry.id, *rate,
-                                   it.said.limit_signal_age(now));
+                                   it.signals.limit_signal_age(now));
 }
 
-bool target_registry::is_limited_to_us(const target_state& it,
-                                       instant now) const
+bool target_registry::limited_quota_used_up(const target_state& it,
+                                            instant now) const
 {
     const auto share = limited_quota(it, now);
     return share && it.sends.count(now, limit_window) >= *share;
@@ -71,11 +72,11 @@
 /// A target that couldn't be reached answers. Guards against a target that
 /// crashed and is back under its id: it looks idle, so that all nodes would
 /// choose it before its entry says that it is cold.
-void target_registry::suspect_start(target_state& it, instant now) const
+void target_registry::suspect_restart(target_state& it, instant now) const
 {
     const cold_start_profile* traits = traits_of(it);
-    if (it.rests > 0 && traits != nullptr)
-        it.suspect_until = now + traits->warm_up;
+    if (it.consecutive_backoffs > 0 && traits != nullptr)
+        it.maybe_cold_until = now + traits->warm_up;
 }
 
 } // namespace fennelladder::dispatch
--- a/libs/dispatch/target_registry.cpp
+++ b/libs/dispatch/target_registry.cpp
@@ -14,11 +14,11 @@
 
 /// Bounds of one slowness observation; a single odd wait must not condemn a
 /// target for long.
-constexpr double least_slowness = 0.5;
-constexpr double most_slowness = 30;
+constexpr double min_slowness = 0.5;
+constexpr double max_slowness = 30;
 
 /// Waits shorter than this say more of the network than of the target.
-constexpr double shortest_wait = 0.005;
+constexpr double min_wait = 0.005;
 
 } // namespace
 
@@ -80,15 +80,15 @@
             continue;
         if (!list_in_doubt)
             state.gone = true;
-        else if (!state.use_until)
-            state.use_until = now + options_.lapsed_grace;
+        else if (!state.usable_until)
+            state.usable_until = now + options_.lapsed_grace;
     }
     for (const auto& [id, entry] : listed)
-        take_entry(targets_[id], entry, now, replaced);
+        apply_entry(targets_[id], entry, now, replaced);
     std::erase_if(targets_, [&](const auto& it) {
         const target_state& state = it.second;
-        return (state.gone || state.other_life) && state.running == 0 &&
-               !state.said.holds(now) && !listed.contains(it.first);
+        return (state.gone || state.address_reused) && state.running == 0 &&
+               !state.signals.is_active(now) && !listed.contains(it.first);
     });
     by_service_.clear();
     for (const auto& [id, state] : targets_)
@@ -101,21 +101,22 @@
 /// What was learned by an address that the process has left.
 void target_registry::forget_address(target_state& it)
 {
-    it.other_life = false;
-    it.rests = 0;
-    it.trying = false;
-    it.rest_until = instant();
+    it.address_reused = false;
+    it.consecutive_backoffs = 0;
+    it.probe_running = false;
+    it.backoff_until = instant();
     it.failures = {};
 }
 
-/// A later start empties the row: kept, the averages, rests and counts of a
-/// process that is over would shun the next one, and the prompt's parts would
-/// send requests to where nothing is held. An earlier start is passed over, so
-/// that no row gets the ends of requests that it didn't count as started.
-void target_registry::take_entry(target_state& it,
-                                 const catalog::target_entry& entry,
-                                 instant now,
-                                 std::vector<catalog::target_entry>& replaced)
+/// A later start empties the row: kept, the averages, consecutive_backoffs and
+/// counts of a process that is over would shun the next one, and the prompt's
+/// parts would send requests to where nothing is held. An earlier start is
+/// passed over, so that no row gets the ends of requests that it didn't count
+/// as started.
+void target_registry::apply_entry(target_state& it,
+                                  const catalog::target_entry& entry,
+                                  instant now,
+                                  std::vector<catalog::target_entry>& replaced)
 {
     const bool fresh = it.entry.id.empty();
     if (!fresh && entry.start < it.entry.start)
@@ -131,14 +132,14 @@
         it = target_state();
     // Without starts, only a move shows that another process has the id.
     if (moved && !catalog::is_said(entry.start))
-        it.said = signal_state();
+        it.signals = signal_state();
     if (cold_anew && entry.warm_up_left > duration(0))
-        it.said.extend_cold_until(now + entry.warm_up_left);
+        it.signals.extend_cold_until(now + entry.warm_up_left);
     if (moved)
         forget_address(it);
     it.entry = entry;
     it.gone = false;
-    it.use_until.reset();
+    it.usable_until.reset();
 }
 
 /// Targets came and went: counts are taken from what peers said last.
@@ -162,30 +163,30 @@
         }
 }
 
-double target_registry::faded(const fading_average& of, instant now) const
+double target_registry::decayed(const decaying_average& of, instant now) const
 {
     const double halves =
         to_seconds(now - of.at) / to_seconds(options_.average_half_life);
     return of.value * std::exp2(-std::max(halves, 0.0));
 }
 
-void target_registry::observe(fading_average& of, double value,
+void target_registry::observe(decaying_average& of, double value,
                               instant now) const
 {
-    const double old = faded(of, now);
+    const double old = decayed(of, now);
     of.value = old + options_.newest_weight * (value - old);
     of.at = now;
 }
 
 bool target_registry::is_gone(const target_state& it, instant now)
 {
-    const bool lapsed = it.use_until && now >= *it.use_until;
-    return it.gone || it.other_life || lapsed;
+    const bool lapsed = it.usable_until && now >= *it.usable_until;
+    return it.gone || it.address_reused || lapsed;
 }
 
 bool target_registry::is_leaving(const target_state& it)
 {
-    return it.entry.leaving || it.said.leaving();
+    return it.entry.leaving || it.signals.leaving();
 }
 
 bool target_registry::is_evacuated(const target_state& it) const
@@ -212,30 +213,30 @@
             continue;
         ++ended;
         if (const cold_start_profile* traits = traits_of(state))
-            state.said.extend_cold_until(now + traits->warm_up);
+            state.signals.extend_cold_until(now + traits->warm_up);
     }
     evacuated_ = std::move(data_centers);
     return ended;
 }
 
-bool target_registry::resting(const target_state& it, instant now) const
+bool target_registry::is_backing_off(const target_state& it, instant now) const
 {
-    const bool one_at_a_time = it.rests > 0 || it.on_trial;
-    return now < it.rest_until || (one_at_a_time && it.trying) ||
-           is_quiet(it, now);
+    const bool one_at_a_time = it.consecutive_backoffs > 0 || it.probe_pending;
+    return now < it.backoff_until || (one_at_a_time && it.probe_running) ||
+           is_silent(it, now);
 }
 
-bool target_registry::asked_for_rest(const target_state& it, instant now)
+bool target_registry::backoff_requested(const target_state& it, instant now)
 {
-    return it.said.rest_left(now) > duration(0);
+    return it.signals.backoff_left(now) > duration(0);
 }
 
 /// An answer to a request that was under way as the target asked for rest says
 /// nothing of the time after.
-void target_registry::end_trial(target_state& it, instant now)
+void target_registry::end_probe(target_state& it, instant now)
 {
-    if (!asked_for_rest(it, now))
-        it.on_trial = false;
+    if (!backoff_requested(it, now))
+        it.probe_pending = false;
 }
 
 /// Guards against a host that goes dark: its requests may not be sent again
@@ -243,29 +244,29 @@
 /// nothing else says that the target is gone, so that it would get its share
 /// of new ones for seconds. One that lives again answers, or its connections
 /// are reset; both end the quiet.
-bool target_registry::is_quiet(const target_state& it, instant now) const
+bool target_registry::is_silent(const target_state& it, instant now) const
 {
-    return options_.max_silence > duration(0) && it.unread > 0 &&
-           now - it.quiet_since > options_.max_silence;
+    return options_.max_silence > duration(0) && it.awaiting_first_byte > 0 &&
+           now - it.silent_since > options_.max_silence;
 }
 
-void target_registry::hear(target_state& it, instant now)
+void target_registry::mark_active(target_state& it, instant now)
 {
-    it.quiet_since = std::max(it.quiet_since, now);
+    it.silent_since = std::max(it.silent_since, now);
 }
 
 void target_registry::note_activity(const catalog::target_process& target,
                                     instant now)
 {
     if (target_state* it = find(target))
-        hear(*it, now);
+        mark_active(*it, now);
 }
 
 bool target_registry::may_use(const target_id& target, instant now) const
 {
     const auto it = targets_.find(target);
     return it != targets_.end() && usable(it->second, now) &&
-           !asked_for_rest(it->second, now);
+           !backoff_requested(it->second, now);
 }
 
 std::optional<catalog::target_entry>
@@ -308,19 +309,19 @@
     if (it == nullptr)
         return;
     ++it->running;
-    if (it->unread++ == 0)
-        hear(*it, now);
+    if (it->awaiting_first_byte++ == 0)
+        mark_active(*it, now);
     it->reading += made.work.reading;
-    if (it->rests > 0 || it->on_trial)
-        it->trying = true;
+    if (it->consecutive_backoffs > 0 || it->probe_pending)
+        it->probe_running = true;
     if (cold_quota(*it, now) || limited_quota(*it, now))
         it->sends.note(now);
     for (const shared_part& part : of.prompt)
         it->parts[part.id] = now;
-    forget_parts(*it, now);
+    trim_parts(*it, now);
 }
 
-void target_registry::forget_parts(target_state& it, instant now) const
+void target_registry::trim_parts(target_state& it, instant now) const
 {
     if (it.parts.size() <= options_.max_parts)
         return;
@@ -338,13 +339,12 @@
     if (it == nullptr)
         return;
     it->reading -= made.work.reading;
-    --it->unread;
-    hear(*it, now);
-    end_trial(*it, now);
-    const double predicted =
-        std::max(to_seconds(made.predicted), shortest_wait);
-    const double slowness = std::clamp(to_seconds(waited) / predicted,
-                                       least_slowness, most_slowness);
+    --it->awaiting_first_byte;
+    mark_active(*it, now);
+    end_probe(*it, now);
+    const double predicted = std::max(to_seconds(made.predicted), min_wait);
+    const double slowness =
+        std::clamp(to_seconds(waited) / predicted, min_slowness, max_slowness);
     observe(it->log_slowness, std::log(slowness), now);
 }
 
@@ -358,24 +358,25 @@
     --it->running;
     if (!read) {
         it->reading -= made.work.reading;
-        --it->unread;
+        --it->awaiting_first_byte;
     }
     const bool spoke = evidence == target_evidence::answered ||
                        evidence == target_evidence::failed ||
                        evidence == target_evidence::full;
     if (spoke)
-        hear(*it, now);
+        mark_active(*it, now);
     note_evidence(made.process(), evidence, now);
 }
 
-void target_registry::rest(target_state& it, duration first, instant now)
+void target_registry::back_off(target_state& it, duration first, instant now)
 {
     duration length = first;
-    for (int i = 0; i < it.rests && length < options_.max_backoff; ++i)
+    for (int i = 0;
+         i < it.consecutive_backoffs && length < options_.max_backoff; ++i)
         length *= 2;
-    it.rest_until = now + std::min(length, options_.max_backoff);
-    ++it.rests;
-    it.trying = false;
+    it.backoff_until = now + std::min(length, options_.max_backoff);
+    ++it.consecutive_backoffs;
+    it.probe_running = false;
 }
 
 void target_registry::note_evidence(const catalog::target_process& target,
@@ -386,39 +387,40 @@
         return;
     switch (evidence) {
     case target_evidence::answered:
-        suspect_start(*it, now);
-        it->rests = 0;
-        it->trying = false;
-        end_trial(*it, now);
+        suspect_restart(*it, now);
+        it->consecutive_backoffs = 0;
+        it->probe_running = false;
+        end_probe(*it, now);
         observe(it->failures, 0, now);
         return;
     case target_evidence::failed:
-        suspect_start(*it, now);
-        it->rests = 0;
-        it->trying = false;
-        end_trial(*it, now);
+        suspect_restart(*it, now);
+        it->consecutive_backoffs = 0;
+        it->probe_running = false;
+        end_probe(*it, now);
         observe(it->failures, 0.5, now);
         return;
     case target_evidence::broke:
     case target_evidence::silent:
-        it->trying = false;
+        it->probe_running = false;
         observe(it->failures, 1, now);
         return;
     case target_evidence::unreachable:
         observe(it->failures, 1, now);
         // Several requests may fail at once; that is one rest.
-        if (now >= it->rest_until)
-            rest(*it, options_.initial_backoff, now);
+        if (now >= it->backoff_until)
+            back_off(*it, options_.initial_backoff, now);
         return;
     case target_evidence::full:
-        it->trying = false;
-        it->rest_until = std::max(it->rest_until, now + options_.full_backoff);
+        it->probe_running = false;
+        it->backoff_until =
+            std::max(it->backoff_until, now + options_.full_backoff);
         return;
     case target_evidence::other_life:
-        it->other_life = true;
+        it->address_reused = true;
         return;
     case target_evidence::nothing:
-        it->trying = false;
+        it->probe_running = false;
         return;
     }
 }
--- a/libs/dispatch/target_registry_test.cpp
+++ b/libs/dispatch/target_registry_test.cpp
@@ -39,17 +39,17 @@
 
 TEST_GROUP(target_registry)
 {
-    target_registry book{{}};
+    target_registry registry{{}};
     random_source random{1};
 
     void setup() override
     {
-        book.sync(engines(6), false, start);
+        registry.sync(engines(6), false, start);
     }
 
-    target_id chosen(const routing_request& wish, instant now = start)
+    target_id chosen(const routing_request& request, instant now = start)
     {
-        const auto made = book.choose(wish, now, random);
+        const auto made = registry.choose(request, now, random);
         return made ? made->target : target_id();
     }
 };
@@ -60,8 +60,8 @@
     other.sync(engines(6), false, start);
     random_source dice(99);
     for (std::uint64_t part = 2; part < 40; ++part) {
-        const auto wish = prompt(part);
-        CHECK(chosen(wish) == other.choose(wish, start, dice)->target);
+        const auto request = prompt(part);
+        CHECK(chosen(request) == other.choose(request, start, dice)->target);
     }
 }
 
@@ -79,11 +79,11 @@
 // requests go elsewhere and fetch the part instead of reading it.
 TEST(target_registry, a_hot_part_spills_over_and_is_fetched)
 {
-    const auto wish = prompt(5);
-    const auto first = book.choose(wish, start, random);
+    const auto request = prompt(5);
+    const auto first = registry.choose(request, start, random);
     for (int i = 0; i < 400; ++i)
-        book.started(*first, wish, start);
-    const auto next = book.choose(wish, start, random);
+        registry.started(*first, request, start);
+    const auto next = registry.choose(request, start, random);
     CHECK(next->target != first->target);
     STRCMP_EQUAL(first->address.c_str(), next->fetch_from.c_str());
     CHECK(first->fetch_from.empty());
@@ -93,59 +93,59 @@
 // choice; after its rest one request finds out whether it is back.
 TEST(target_registry, an_unreachable_target_rests_and_is_tried_gently)
 {
-    const auto wish = prompt(5);
-    const target_id dead = chosen(wish);
-    book.note_evidence({dead}, target_evidence::unreachable, start);
+    const auto request = prompt(5);
+    const target_id dead = chosen(request);
+    registry.note_evidence({dead}, target_evidence::unreachable, start);
     for (int i = 0; i < 20; ++i)
-        CHECK(chosen(wish) != dead);
+        CHECK(chosen(request) != dead);
     const instant later = start + seconds(30);
-    const auto made = book.choose(wish, later, random);
+    const auto made = registry.choose(request, later, random);
     CHECK(made->target == dead);
-    book.started(*made, wish, later);
-    CHECK(chosen(wish, later) != dead);
-    book.finished(*made, false, target_evidence::answered, later);
-    CHECK(chosen(wish, later) == dead);
+    registry.started(*made, request, later);
+    CHECK(chosen(request, later) != dead);
+    registry.finished(*made, false, target_evidence::answered, later);
+    CHECK(chosen(request, later) == dead);
 }
 
 TEST(target_registry, all_resting_targets_are_better_than_none)
 {
     for (int i = 0; i < 6; ++i)
-        book.note_evidence({target_id("i-" + std::to_string(i))},
-                           target_evidence::unreachable, start);
+        registry.note_evidence({target_id("i-" + std::to_string(i))},
+                               target_evidence::unreachable, start);
     CHECK(!chosen(prompt(5)).empty());
 }
 
 TEST(target_registry, another_life_is_never_sent_to_again)
 {
-    const auto wish = prompt(5);
-    const target_id was = chosen(wish);
-    book.note_evidence({was}, target_evidence::other_life, start);
-    CHECK(!book.may_use(was, start));
-    CHECK(chosen(wish) != was);
+    const auto request = prompt(5);
+    const target_id was = chosen(request);
+    registry.note_evidence({was}, target_evidence::other_life, start);
+    CHECK(!registry.may_use(was, start));
+    CHECK(chosen(request) != was);
 }
 
 TEST(target_registry, a_leaving_target_gets_nothing_new)
 {
-    const auto wish = prompt(5);
+    const auto request = prompt(5);
     auto listed = engines(6);
-    const target_id leaves = chosen(wish);
+    const target_id leaves = chosen(request);
     listed[leaves].leaving = true;
-    book.sync(listed, false, start);
-    CHECK(chosen(wish) != leaves);
+    registry.sync(listed, false, start);
+    CHECK(chosen(request) != leaves);
 }
 
 // Story: the platform was away and the entries of living targets lapsed. They
 // are used for a moment, until they are back or surely gone.
 TEST(target_registry, lapsed_entries_are_used_for_a_moment)
 {
-    book.sync({}, true, start);
+    registry.sync({}, true, start);
     CHECK(!chosen(prompt(5)).empty());
     CHECK(chosen(prompt(5), start + seconds(2)).empty());
 }
 
 TEST(target_registry, a_removed_target_is_not_used)
 {
-    book.sync({}, false, start);
+    registry.sync({}, false, start);
     CHECK(chosen(prompt(5)).empty());
 }
 
@@ -154,29 +154,29 @@
 // sent nothing more there.
 TEST(target_registry, a_target_that_comes_back_is_used)
 {
-    const auto wish = prompt(5);
-    const choice made = *book.choose(wish, start, random);
-    book.started(made, wish, start);
-    book.sync({}, false, start);
-    CHECK(!book.may_use(made.target, start));
-    book.sync(engines(6), false, start);
-    CHECK(book.may_use(made.target, start));
-    book.finished(made, false, target_evidence::other_life, start);
-    book.sync(engines(6), false, start);
-    CHECK(!book.may_use(made.target, start));
+    const auto request = prompt(5);
+    const choice made = *registry.choose(request, start, random);
+    registry.started(made, request, start);
+    registry.sync({}, false, start);
+    CHECK(!registry.may_use(made.target, start));
+    registry.sync(engines(6), false, start);
+    CHECK(registry.may_use(made.target, start));
+    registry.finished(made, false, target_evidence::other_life, start);
+    registry.sync(engines(6), false, start);
+    CHECK(!registry.may_use(made.target, start));
 }
 
 TEST(target_registry, a_slow_target_is_left_and_found_again)
 {
     // Little is shared, so that nothing but its speed holds requests there.
-    const auto wish = prompt(5, 100);
-    auto fresh = wish;
+    const auto request = prompt(5, 100);
+    auto fresh = request;
     fresh.prompt.back().id = 99;
-    const auto made = book.choose(wish, start, random);
+    const auto made = registry.choose(request, start, random);
     for (int i = 0; i < 5; ++i) {
-        book.started(*made, wish, start);
-        book.first_byte(*made, made->predicted * 20, start);
-        book.finished(*made, true, target_evidence::answered, start);
+        registry.started(*made, request, start);
+        registry.first_byte(*made, made->predicted * 20, start);
+        registry.finished(*made, true, target_evidence::answered, start);
     }
     CHECK(chosen(fresh) != made->target);
     CHECK(chosen(fresh, start + seconds(60)) == made->target);
@@ -184,17 +184,17 @@
 
 TEST(target_registry, load_of_peers_counts_until_they_are_forgotten)
 {
-    const auto wish = prompt(5);
-    const target_id usual = chosen(wish);
-    book.set_peer_load(host_id("p"), {{usual, 500, 200'000}});
-    CHECK(chosen(wish) != usual);
-    book.set_peer_load(host_id("p"), {});
-    CHECK(chosen(wish) == usual);
-    book.set_peer_load(host_id("p"), {{usual, 500, 200'000}});
-    book.sync(engines(6), false, start);
-    CHECK(chosen(wish) != usual);
-    book.forget_peer(host_id("p"));
-    CHECK(chosen(wish) == usual);
+    const auto request = prompt(5);
+    const target_id usual = chosen(request);
+    registry.set_peer_load(host_id("p"), {{usual, 500, 200'000}});
+    CHECK(chosen(request) != usual);
+    registry.set_peer_load(host_id("p"), {});
+    CHECK(chosen(request) == usual);
+    registry.set_peer_load(host_id("p"), {{usual, 500, 200'000}});
+    registry.sync(engines(6), false, start);
+    CHECK(chosen(request) != usual);
+    registry.forget_peer(host_id("p"));
+    CHECK(chosen(request) == usual);
 }
 
 /// Six engines; `id` started at `started` and listens at `address`.
@@ -209,17 +209,17 @@
 
 TEST_GROUP(target_restart)
 {
-    target_registry book{{}};
+    target_registry registry{{}};
     random_source random{1};
-    const routing_request wish = prompt(5);
+    const routing_request request = prompt(5);
     choice before; ///< Of the process that started at 100.
 
     void setup() override
     {
-        book.sync(engines(6), false, start);
-        const target_id usual = book.choose(wish, start, random)->target;
-        book.sync(restarted(usual, 100, "10.0.1.1:80"), false, start);
-        before = *book.choose(wish, start, random);
+        registry.sync(engines(6), false, start);
+        const target_id usual = registry.choose(request, start, random)->target;
+        registry.sync(restarted(usual, 100, "10.0.1.1:80"), false, start);
+        before = *registry.choose(request, start, random);
         CHECK(before.target == usual);
         CHECK(before.start == catalog::target_start(100));
     }
@@ -228,12 +228,13 @@
     std::vector<catalog::target_entry> starts_again(
         std::uint64_t at, const char* address = "10.0.1.1:80")
     {
-        return book.sync(restarted(before.target, at, address), false, start);
+        return registry.sync(restarted(before.target, at, address), false,
+                             start);
     }
 
     choice chosen(const routing_request& wanted, instant now = start)
     {
-        return *book.choose(wanted, now, random);
+        return *registry.choose(wanted, now, random);
     }
 };
 
@@ -297,13 +298,14 @@
          }},
     };
     for (const row& it : rows) {
-        book = target_registry{{}};
+        registry = target_registry{{}};
         setup();
-        it.shun(book, before, wish);
-        CHECK_TEXT(chosen(wish).target != before.target, it.what);
+        it.shun(registry, before, request);
+        CHECK_TEXT(chosen(request).target != before.target, it.what);
         starts_again(200);
-        CHECK_TEXT(chosen(wish).target == before.target, it.what);
-        CHECK_TEXT(chosen(wish).start == catalog::target_start(200), it.what);
+        CHECK_TEXT(chosen(request).target == before.target, it.what);
+        CHECK_TEXT(chosen(request).start == catalog::target_start(200),
+                   it.what);
     }
 }
 
@@ -315,13 +317,13 @@
     routing_request own = prompt(5);
     own.prompt.erase(own.prompt.begin(), own.prompt.begin() + 2);
     const choice made = chosen(own);
-    book.sync(restarted(made.target, 100, "10.0.1.1:80"), false, start);
+    registry.sync(restarted(made.target, 100, "10.0.1.1:80"), false, start);
     const choice first = chosen(own);
     CHECK(first.target == made.target);
-    book.started(first, prompt(5), start);
+    registry.started(first, prompt(5), start);
     const std::uint32_t to_read = chosen(prompt(5)).work.reading;
     CHECK(to_read < 500);
-    book.sync(restarted(made.target, 200, "10.0.1.1:80"), false, start);
+    registry.sync(restarted(made.target, 200, "10.0.1.1:80"), false, start);
     CHECK(chosen(prompt(5)).work.reading > to_read);
 }
 
@@ -331,23 +333,24 @@
 TEST(target_restart, what_ends_late_is_not_taken_off_the_next_process)
 {
     for (int i = 0; i < 3; ++i)
-        book.started(before, wish, start);
+        registry.started(before, request, start);
     starts_again(200);
-    CHECK(book.own_load().empty());
-    choice next = chosen(wish);
-    book.started(next, wish, start);
-    book.first_byte(before, seconds(60), start);
+    CHECK(registry.own_load().empty());
+    choice next = chosen(request);
+    registry.started(next, request, start);
+    registry.first_byte(before, seconds(60), start);
     for (int i = 0; i < 3; ++i)
-        book.finished(before, i == 0, target_evidence::unreachable, start);
-    const auto load = book.own_load();
+        registry.finished(before, i == 0, target_evidence::unreachable, start);
+    const auto load = registry.own_load();
     UNSIGNED_LONGS_EQUAL(1, load.size());
     UNSIGNED_LONGS_EQUAL(1, load.at(0).running);
     UNSIGNED_LONGS_EQUAL(next.work.reading, load.at(0).reading);
     CHECK(load.at(0).start == catalog::target_start(200));
-    book.finished(next, false, target_evidence::answered, start);
-    CHECK(chosen(wish).target == next.target);
-    book.note_evidence(before.process(), target_evidence::other_life, start);
-    CHECK(book.may_use(next.target, start));
+    registry.finished(next, false, target_evidence::answered, start);
+    CHECK(chosen(request).target == next.target);
+    registry.note_evidence(before.process(), target_evidence::other_life,
+                           start);
+    CHECK(registry.may_use(next.target, start));
 }
 
 // Story: a peer that hasn't heard of the restart tells what it has running at
@@ -362,19 +365,20 @@
     const row rows[] = {{100, false}, {200, true}, {300, false}, {0, true}};
     starts_again(200);
     for (const row& it : rows) {
-        book.set_peer_load(host_id("p"), {{before.target, 500, 200'000,
-                                           catalog::target_start(it.start)}});
-        CHECK_EQUAL(it.counts, chosen(wish).target != before.target);
+        registry.set_peer_load(
+            host_id("p"),
+            {{before.target, 500, 200'000, catalog::target_start(it.start)}});
+        CHECK_EQUAL(it.counts, chosen(request).target != before.target);
     }
-    book.forget_peer(host_id("p"));
-    CHECK(chosen(wish).target == before.target);
+    registry.forget_peer(host_id("p"));
+    CHECK(chosen(request).target == before.target);
 }
 
 // Story: a request was tried at a process. Its target started again, alone in
 // its service; a request that may be repeated is sent to the next process.
 TEST(target_restart, a_process_that_was_tried_is_avoided_and_the_next_is_not)
 {
-    routing_request again = wish;
+    routing_request again = request;
     again.avoid = {before.process()};
     CHECK(chosen(again).target != before.target);
     starts_again(200);
@@ -401,12 +405,13 @@
         {"an earlier start", 200, "10.0.1.2:80", false, 300},
     };
     for (const row& it : rows) {
-        const auto known = book.entry_of(before.target);
+        const auto known = registry.entry_of(before.target);
         const auto replaced = starts_again(it.start, it.address);
         CHECK_EQUAL_TEXT(it.replaced, !replaced.empty(), it.what);
         if (it.replaced)
             CHECK_TEXT(replaced.at(0) == *known, it.what);
-        CHECK_TEXT(chosen(wish).start == catalog::target_start(it.start_after),
+        CHECK_TEXT(chosen(request).start ==
+                       catalog::target_start(it.start_after),
                    it.what);
     }
 }
@@ -418,12 +423,12 @@
 {
     for (const auto evidence :
          {target_evidence::unreachable, target_evidence::other_life}) {
-        book = target_registry{{}};
+        registry = target_registry{{}};
         setup();
-        book.note_evidence(before.process(), evidence, start);
-        CHECK(chosen(wish).target != before.target);
+        registry.note_evidence(before.process(), evidence, start);
+        CHECK(chosen(request).target != before.target);
         starts_again(100, "10.0.1.2:80");
-        CHECK(chosen(wish).target == before.target);
+        CHECK(chosen(request).target == before.target);
     }
 }
 
@@ -431,17 +436,18 @@
 // known.
 TEST(target_restart, another_id_at_the_address_begins_anew)
 {
-    book.note_evidence(before.process(), target_evidence::unreachable, start);
+    registry.note_evidence(before.process(), target_evidence::unreachable,
+                           start);
     entry_map listed = engines(6);
     catalog::target_entry other = listed[before.target];
     listed.erase(before.target);
     other.id = target_id("i-new");
     other.address = before.address;
     listed[other.id] = other;
-    book.sync(listed, false, start);
-    CHECK(!book.may_use(before.target, start));
-    CHECK(book.may_use(other.id, start));
-    routing_request alone = wish;
+    registry.sync(listed, false, start);
+    CHECK(!registry.may_use(before.target, start));
+    CHECK(registry.may_use(other.id, start));
+    routing_request alone = request;
     for (const auto& [id, entry] : listed)
         if (id != other.id)
             alone.avoid.push_back(entry.process());
@@ -453,19 +459,19 @@
 // after it: nothing has ended, so nothing said that the target was gone.
 TEST(target_registry, a_target_that_fell_silent_gets_no_more)
 {
-    const auto wish = prompt(5);
-    const auto first = book.choose(wish, start, random);
-    book.started(*first, wish, start);
-    CHECK(chosen(wish) == first->target);
+    const auto request = prompt(5);
+    const auto first = registry.choose(request, start, random);
+    registry.started(*first, request, start);
+    CHECK(chosen(request) == first->target);
     const instant later = start + milliseconds(1'001);
-    CHECK(chosen(wish, later) != first->target);
+    CHECK(chosen(request, later) != first->target);
     // It was only slow, or it is back.
-    book.note_activity(first->process(), later);
-    CHECK(chosen(wish, later) == first->target);
+    registry.note_activity(first->process(), later);
+    CHECK(chosen(request, later) == first->target);
     // Nothing is waited for any more.
-    book.first_byte(*first, seconds(1), later);
-    CHECK(chosen(wish, later + seconds(2)) == first->target);
-    book.finished(*first, true, target_evidence::answered, later);
+    registry.first_byte(*first, seconds(1), later);
+    CHECK(chosen(request, later + seconds(2)) == first->target);
+    registry.finished(*first, true, target_evidence::answered, later);
 }
 
 // A target may be alone in its service.
@@ -473,8 +479,8 @@
 {
     target_registry alone{{}};
     alone.sync(engines(1), false, start);
-    const auto wish = prompt(5);
-    const auto made = alone.choose(wish, start, random);
-    alone.started(*made, wish, start);
-    CHECK(alone.choose(wish, start + seconds(5), random).has_value());
+    const auto request = prompt(5);
+    const auto made = alone.choose(request, start, random);
+    alone.started(*made, request, start);
+    CHECK(alone.choose(request, start + seconds(5), random).has_value());
 }
--- a/libs/dispatch/target_signals.cpp
+++ b/libs/dispatch/target_signals.cpp
@@ -15,15 +15,15 @@
     target_state* it = find(target);
     if (it == nullptr)
         return {};
-    it->on_trial |= said.rest.has_value();
-    return it->said.take(said, now);
+    it->probe_pending |= said.rest.has_value();
+    return it->signals.apply(said, now);
 }
 
 std::vector<limit_signal> target_registry::own_limits(instant now) const
 {
     std::vector<limit_signal> out;
     for (const auto& [id, state] : targets_)
-        if (const auto word = state.said.limit_for_peers(now))
+        if (const auto word = state.signals.limit_for_peers(now))
             out.push_back({id, state.entry.start, word->rate, word->ago});
     return out;
 }
@@ -37,7 +37,7 @@
         target_state* it =
             find(catalog::target_process{word.target, word.start});
         if (it != nullptr &&
-            it->said.apply_peer_limit(word.rate, at - word.ago))
+            it->signals.apply_peer_limit(word.rate, at - word.ago))
             out.push_back(word);
     }
     return out;
@@ -48,7 +48,7 @@
 {
     std::vector<std::pair<duration, catalog::target_process>> told;
     for (const auto& [id, state] : targets_) {
-        const auto ago = state.said.leaving_for_peers(now);
+        const auto ago = state.signals.leaving_for_peers(now);
         if (ago && !state.entry.leaving)
             told.emplace_back(*ago, state.entry.process());
     }
@@ -66,7 +66,7 @@
     std::vector<catalog::target_process> out;
     for (const catalog::target_process& each : targets) {
         target_state* it = find(each);
-        if (it != nullptr && it->said.apply_peer_leaving(now))
+        if (it != nullptr && it->signals.apply_peer_leaving(now))
             out.push_back(each);
     }
     return out;
--- a/libs/dispatch/target_signals_test.cpp
+++ b/libs/dispatch/target_signals_test.cpp
@@ -40,17 +40,17 @@
 TEST_GROUP(target_signals)
 {
     random_source random{1};
-    target_registry book{target_registry_options{}};
+    target_registry registry{target_registry_options{}};
     instant now = start;
 
     void list(const entry_map& entries, bool in_doubt = false)
     {
-        book.sync(entries, in_doubt, now);
+        registry.sync(entries, in_doubt, now);
     }
 
     bool is_choice()
     {
-        return book.choose(wish_for(), now, random).has_value();
+        return registry.choose(wish_for(), now, random).has_value();
     }
 };
 
@@ -60,14 +60,16 @@
 {
     const auto only = engine(1, 5);
     list({{only.id, only}});
-    CHECK(book.note_signals(only.process(), {.leaving = true}, now).leaving);
-    CHECK(!book.note_signals(only.process(), {.leaving = true}, now).leaving);
+    CHECK(
+        registry.note_signals(only.process(), {.leaving = true}, now).leaving);
+    CHECK(
+        !registry.note_signals(only.process(), {.leaving = true}, now).leaving);
     CHECK(!is_choice());
-    CHECK(!book.may_use(only.id, now));
+    CHECK(!registry.may_use(only.id, now));
     for (const bool in_doubt : {true, false}) {
         now += seconds(5);
         list({}, in_doubt);
-        CHECK_EQUAL(in_doubt ? 1 : 0, book.count(only.service));
+        CHECK_EQUAL(in_doubt ? 1 : 0, registry.count(only.service));
         list({{only.id, only}});
         CHECK(!is_choice());
     }
@@ -82,7 +84,7 @@
 {
     auto only = sample_engine(1, 24);
     list({{only.id, only}});
-    book.note_signals(only.process(), {.leaving = true}, now);
+    registry.note_signals(only.process(), {.leaving = true}, now);
     ++only.slots;
     list({{only.id, only}});
     CHECK(!is_choice());
@@ -96,7 +98,7 @@
 {
     const auto only = engine(1, 6);
     list({{only.id, only}});
-    CHECK(!book.note_signals(engine(1, 5).process(), {.leaving = true}, now)
+    CHECK(!registry.note_signals(engine(1, 5).process(), {.leaving = true}, now)
                .any());
     CHECK(is_choice());
 }
@@ -109,19 +111,20 @@
     const auto second = engine(2, 5);
     const entry_map both = {{first.id, first}, {second.id, second}};
     list(both);
-    CHECK(!book.backoff_wait(wish_for(), now));
-    book.note_signals(first.process(), {.rest = seconds(3)}, now);
+    CHECK(!registry.backoff_wait(wish_for(), now));
+    registry.note_signals(first.process(), {.rest = seconds(3)}, now);
     CHECK(is_choice());
-    CHECK(!book.backoff_wait(wish_for(), now));
-    book.note_signals(second.process(), {.rest = seconds(2)}, now);
+    CHECK(!registry.backoff_wait(wish_for(), now));
+    registry.note_signals(second.process(), {.rest = seconds(2)}, now);
     CHECK(!is_choice());
-    CHECK(!book.may_use(first.id, now));
-    CHECK(book.why_no_target(wish_for(), now) == no_target_reason::backing_off);
-    CHECK(book.backoff_wait(wish_for(), now) == duration(seconds(2)));
+    CHECK(!registry.may_use(first.id, now));
+    CHECK(registry.why_no_target(wish_for(), now) ==
+          no_target_reason::backing_off);
+    CHECK(registry.backoff_wait(wish_for(), now) == duration(seconds(2)));
     now += seconds(2);
     CHECK(is_choice());
-    CHECK(!book.backoff_wait(wish_for(), now));
-    CHECK(!book.may_use(first.id, now));
+    CHECK(!registry.backoff_wait(wish_for(), now));
+    CHECK(!registry.may_use(first.id, now));
 }
 
 // Guards against a rest that ends with what was under way, a shorter one, or
@@ -130,21 +133,21 @@
 {
     const auto only = engine(1, 5);
     list({{only.id, only}});
-    const auto made = book.choose(wish_for(), now, random);
-    book.started(*made, wish_for(), now);
-    book.note_signals(only.process(), {.rest = seconds(3)}, now);
-    book.first_byte(*made, seconds(1), now);
-    book.finished(*made, true, target_evidence::answered, now);
+    const auto made = registry.choose(wish_for(), now, random);
+    registry.started(*made, wish_for(), now);
+    registry.note_signals(only.process(), {.rest = seconds(3)}, now);
+    registry.first_byte(*made, seconds(1), now);
+    registry.finished(*made, true, target_evidence::answered, now);
     CHECK(!is_choice());
-    book.note_signals(only.process(), {.rest = seconds(1)}, now);
-    book.note_signals(only.process(), {.is_latest = true}, now);
+    registry.note_signals(only.process(), {.rest = seconds(1)}, now);
+    registry.note_signals(only.process(), {.is_latest = true}, now);
     list({});
     list({{only.id, only}});
     now += milliseconds(2999);
     CHECK(!is_choice());
     now += milliseconds(1);
     CHECK(is_choice());
-    book.note_signals(only.process(), {.rest = seconds(3)}, now);
+    registry.note_signals(only.process(), {.rest = seconds(3)}, now);
     const auto next = engine(1, 6);
     list({{next.id, next}});
     CHECK(is_choice());
@@ -157,19 +160,19 @@
     const auto rested = engine(1, 5);
     const auto busy = engine(2, 5);
     list({{rested.id, rested}, {busy.id, busy}});
-    book.set_peer_load(host_id("peer"), {{busy.id, 20, 0, busy.start}});
+    registry.set_peer_load(host_id("peer"), {{busy.id, 20, 0, busy.start}});
     const auto chosen = [&] {
-        return book.choose(wish_for(true), now, random)->target;
+        return registry.choose(wish_for(true), now, random)->target;
     };
     CHECK(chosen() == rested.id);
-    book.note_signals(rested.process(), {.rest = seconds(3)}, now);
+    registry.note_signals(rested.process(), {.rest = seconds(3)}, now);
     CHECK(chosen() == busy.id);
     now += seconds(3);
-    const auto trial = book.choose(wish_for(true), now, random);
+    const auto trial = registry.choose(wish_for(true), now, random);
     CHECK(trial->target == rested.id);
-    book.started(*trial, wish_for(true), now);
+    registry.started(*trial, wish_for(true), now);
     CHECK(chosen() == busy.id);
-    book.first_byte(*trial, milliseconds(10), now);
+    registry.first_byte(*trial, milliseconds(10), now);
     CHECK(chosen() == rested.id);
 }
 
@@ -185,12 +188,12 @@
     list(all);
     target_registry peer{target_registry_options{}};
     peer.sync(all, false, now);
-    book.note_signals(first.process(), {.leaving = true}, now);
+    registry.note_signals(first.process(), {.leaving = true}, now);
     now += seconds(1);
-    book.note_signals(second.process(), {.leaving = true}, now);
-    CHECK(book.own_leaving(1, now) ==
+    registry.note_signals(second.process(), {.leaving = true}, now);
+    CHECK(registry.own_leaving(1, now) ==
           std::vector<catalog::target_process>{second.process()});
-    const auto told = book.own_leaving(16, now);
+    const auto told = registry.own_leaving(16, now);
     UNSIGNED_LONGS_EQUAL(2, told.size());
     UNSIGNED_LONGS_EQUAL(2, peer.merge_peer_leaving(told, now).size());
     CHECK(peer.merge_peer_leaving(told, now).empty());
@@ -201,8 +204,8 @@
     CHECK(peer.merge_peer_leaving({engine(3, 4).process()}, now).empty());
     CHECK(peer.may_use(third.id, now));
     now += seconds(11);
-    book.note_signals(first.process(), {.leaving = true}, now);
-    CHECK(book.own_leaving(16, now).empty());
+    registry.note_signals(first.process(), {.leaving = true}, now);
+    CHECK(registry.own_leaving(16, now).empty());
 }
 
 namespace {
