--- a/include/fennelladder/dispatch/poison_list.hpp
+++ b/include/fennelladder/dispatch/poison_list.hpp
@@ -1,25 +1,25 @@
-// Requests that were running at several targets when these died, and are
-// therefore sent to no target any more.
+// Quarantine of requests that were running at several targets when these died;
+// such a request is sent to no target any more.
 //
 //     if (list.is_poison(mark, now))
 //         ... refuse ...
 //     list.note_death(mark, target, now);     // it ran there as that died
-//     for (const poison_record& it : list.records(now))
-//         ... tell the other nodes ...
-//     list.merge(record, now);                // what another node tells
+//     for (const poison_record& it : list.recent(span, limit, now))
+//         ... send to the other nodes ...
+//     list.merge(record, now);                // received from another node
 //
-// A request is recognised by what its caller would send again (method, path,
+// A request is identified by what its caller would send again (method, path,
 // team and body), since each try carries a new id. Only first-hand evidence
 // counts: the connection broke while the request ran, and the target could
-// not be reached afterwards. Every request that ran there is noted; a
+// not be reached afterwards. Every request that ran there is recorded; a
 // harmless one is refused only if as many targets die under it, one after
-// the other, as a poisonous one kills.
+// the other, as the threshold for a poisonous one.
 //
-// A target may start again under its id: deaths are counted by process, so that
-// two lives of one id count as two.
+// A target may restart under its id. Deaths are counted by process, so that
+// the deaths of two incarnations of one id count as two.
 //
-// Records merge commutatively and idempotently: losing, repeating or
-// reordering messages delays knowledge and does no more.
+// Merging records is commutative and idempotent: lost, repeated or reordered
+// messages only delay what a node knows.
 
 #ifndef FENNELLADDER_DISPATCH_POISON_LIST_HPP
 #define FENNELLADDER_DISPATCH_POISON_LIST_HPP
@@ -36,10 +36,10 @@
 
 namespace fennelladder::dispatch {
 
-/// Recognises a request that is sent again.
+/// Identifies a request that is sent again.
 using request_fingerprint = number_id<struct request_fingerprint_tag>;
 
-/// The mark of a request. Thread safe.
+/// Computes the fingerprint of a request. Thread safe.
 request_fingerprint fingerprint_of(std::string_view method,
                                    std::string_view path, const team_id& team,
                                    std::string_view body);
@@ -53,10 +53,10 @@
 
 struct poison_list_options
 {
-    /// Deaths after which a request is refused. Two, not one: whatever else
-    /// ran beside a poisonous request is noted with one death as well.
+    /// Deaths after which a request is refused. More than one, because each
+    /// request that ran beside a poisonous one is recorded with a death too.
     std::size_t deaths = 2;
-    /// A record is forgotten this long after its last death.
+    /// A record expires this long after its last death.
     duration retention = minutes(10);
     std::size_t max_records = 4096;
 };
@@ -69,16 +69,16 @@
 
     bool is_poison(request_fingerprint mark, instant now) const;
 
-    /// The process died while the request ran there. True if that is news. A
-    /// death that doesn't say its start (nodes of earlier releases tell such)
-    /// is any known death of the id.
+    /// The process died while the request ran there. Returns whether the death
+    /// is new. A death without a start time (reported by nodes of earlier
+    /// releases) matches any known death of the id.
     bool note_death(request_fingerprint mark,
                     const catalog::target_process& target, instant now);
 
-    /// Takes over what another node knows. True if that is news.
+    /// Merges another node's record. Returns whether it holds a new death.
     bool merge(const poison_record& record, instant now);
 
-    /// What was learned in the last `span`, newest first, `limit` at most.
+    /// Records changed in the last `span`, newest first, at most `limit`.
     std::vector<poison_record> recent(duration span, std::size_t limit,
                                       instant now) const;
 
--- a/include/fennelladder/dispatch/retry_budget.hpp
+++ b/include/fennelladder/dispatch/retry_budget.hpp
@@ -1,26 +1,26 @@
 // Keeps the retries that all nodes send to a service below the operator's
-// limit, in every sliding window, without a message between nodes.
+// limit, in every sliding window, without messages between nodes.
 //
-//     allowance.set_hosts(known, now);             // as the fleet is known
-//     allowance.count_request(service, now);       // a caller's request came
-//     if (allowance.take_retry(service, now))
+//     budget.set_hosts(known, now);             // size of the fleet
+//     budget.count_request(service, now);       // a caller's request came
+//     if (budget.take_retry(service, now))
 //         ... send it once more ...
 //
-// The operator allows, over all nodes, a share of the requests of a window plus
-// a fixed slack. Each request that comes to a node, and its part of the slack
-// as time passes, earn it a part of a retry. Half of what is earned is for
-// retries as they come; the other half is what may be saved up for a burst:
-// never more than the latest window would have earned of it.
+// The limit over all nodes is a share of the requests of a window plus a fixed
+// slack. Each request that comes to a node, and the node's part of the slack as
+// time passes, earn it a fraction of a retry. Half of the limit is earned for
+// retries as they come; the other half bounds the balance saved for a burst,
+// which is never more than the latest window would have earned of it.
 //
 // The sum over all nodes keeps the limit in whatever order nodes die, start and
-// lose their callers to others. What a node has saved at a moment was earned
-// in the window before it, by its own requests; a new process has nothing
-// saved, so a start can only lose allowance. Of any window, the nodes spend at
-// most the half saved up before it and the half earned in it.
+// lose their callers to others. The balance of a node was earned in the window
+// before, by its own requests; a new process starts with an empty balance, so a
+// restart can only lose retries. In any window, the nodes spend at most the
+// half saved before it and the half earned in it.
 //
-// That needs the parts of the slack to add up to no more than the whole: the
-// hosts are those known for long, living or not, and none share the slack
-// while a node doesn't know them.
+// This requires that the nodes' parts of the slack add up to no more than the
+// whole: the hosts counted are those known for long, alive or not, and a node
+// that doesn't know them yet takes no part of the slack.
 
 #ifndef FENNELLADDER_DISPATCH_RETRY_BUDGET_HPP
 #define FENNELLADDER_DISPATCH_RETRY_BUDGET_HPP
@@ -37,13 +37,12 @@
 struct retry_budget_options
 {
     double share = 0.2; ///< Retries per request.
-    double slack = 50;  ///< Retries beside the share, over all nodes.
+    double slack = 50;  ///< Additional retries per window, over all nodes.
     duration window = seconds(10);
-    /// Part of the limit that is used. The rest covers what the operator counts
-    /// in another window than this node does: retries under way, and requests
-    /// that were long on their way here.
+    /// Share of the limit that is used. The rest covers retries and requests in
+    /// flight, which the operator may count in another window than this node.
     double safety_factor = 0.85;
-    /// Part of what is earned that may be saved up.
+    /// Share of the limit that may be saved for a burst.
     double burst_share = 0.5;
 };
 
@@ -53,8 +52,8 @@
 public:
     explicit retry_budget(retry_budget_options options);
 
-    /// How many hosts share the slack; 0: not known, so that this node has no
-    /// part of it.
+    /// How many hosts share the slack; 0: unknown, so this node has no part of
+    /// it.
     void set_hosts(std::size_t hosts, instant now);
 
     std::size_t hosts() const { return hosts_; }
@@ -78,7 +77,7 @@
     {
         std::deque<slice> slices; ///< Oldest first, none older than a window.
         double balance = 0;
-        instant settled; ///< Up to when the slack was earned.
+        instant settled; ///< The slack is credited up to here.
     };
 
     account& account_of(const service_id& service, instant now);
--- a/include/fennelladder/dispatch/signal_state.hpp
+++ b/include/fennelladder/dispatch/signal_state.hpp
@@ -1,22 +1,23 @@
-// What one process of a target has said of itself that still holds.
+// The signals of one process of a target that still hold.
 //
 //     signal_state signals;
-//     signal_changes news = said.apply(signals_of_answer, now);
-//     if (said.leaving() || said.backoff_left(now) > duration(0)) ...
+//     signal_changes changes = signals.apply(signals_of_answer, now);
+//     if (signals.leaving() || signals.backoff_left(now) > duration(0)) ...
 //
-// The signals, whom each binds, and what ends it:
+// The signals, which nodes each one binds, and what ends it:
 //
 // - leaving, from answers and peers: binds all nodes, and ends with the
 //   process.
-// - rest, from rejections: binds this node, and ends when its time is over.
+// - rest (requested backoff), from rejections: binds this node, and ends when
+//   its time is over.
 // - cold, from answers, entries and the end of an evacuation: binds all nodes
 //   together, and ends when its time is over.
 // - limit, from answers and peers: binds all nodes together, and ends with a
-//   later answer that names none, or when no node had a word for long.
+//   later answer without one, or when no node got a limit signal for long.
 //
-// Nothing else ends one. The platform's list may be older than an answer, so no
-// entry takes one back, nor does the lack of one: the state is kept for as long
-// as it is_active(). Answers may come in any order, so a shorter rest doesn't
+// Nothing else ends a signal. The platform's list may be older than an answer,
+// so neither an entry nor a missing entry revokes one: the state is kept while
+// it is_active(). Answers may arrive in any order, so a shorter backoff doesn't
 // end a longer one. A new process begins with a new state.
 //
 // Not thread safe.
@@ -30,7 +31,7 @@
 
 namespace fennelladder::dispatch {
 
-/// Which signals said something new.
+/// Which signals changed the state.
 struct signal_changes
 {
     bool leaving = false;
@@ -40,7 +41,7 @@
     bool any() const { return leaving || rest || rate_limit; }
 };
 
-/// The limit of requests that a target named, or that it names none.
+/// The request limit that a target announced, or that it has none.
 struct rate_signal
 {
     std::optional<double> rate; ///< A second, from all nodes; unset: no limit.
@@ -50,51 +51,53 @@
 class signal_state
 {
 public:
-    /// Takes what an answer to this node says.
-    signal_changes apply(const catalog::target_signals& said, instant now);
+    /// Applies the signals of an answer to this node.
+    signal_changes apply(const catalog::target_signals& signals, instant now);
 
-    /// Another node was told that the process leaves. Whether that is news.
+    /// A peer reports that the process is leaving. Returns whether that is new.
     bool apply_peer_leaving(instant now);
 
-    /// Another node was told of a limit as `at` says; older words than the
-    /// last are passed over. Whether that is news.
+    /// A peer reports the limit it received at `at`; ignored if older than the
+    /// last known signal. Returns whether the limit changed.
     bool apply_peer_limit(std::optional<double> rate, instant at);
 
-    /// The process is cold until `until`, by its entry or an evacuation's end.
+    /// The process is cold at least until `until`, by its entry or because an
+    /// evacuation ended.
     void extend_cold_until(instant until);
 
     bool leaving() const { return leaving_; }
     duration backoff_left(instant now) const;
     bool is_cold(instant now) const { return now < cold_until_; }
 
-    /// Unset: none is known.
+    /// Requests a second from all nodes; unset if no limit is known.
     std::optional<double> rate_limit(instant now) const;
 
-    /// Since any node had a word on the limit.
+    /// Time since any node last got a signal on the limit.
     duration limit_signal_age(instant now) const { return now - limit_time_; }
 
-    /// What this node has to tell its peers of the limit.
+    /// This node's own limit signal to send to its peers; unset if it got none
+    /// recently.
     std::optional<rate_signal> limit_for_peers(instant now) const;
 
-    /// How long ago an answer first told this node that the process leaves;
-    /// unset: never, or too long for peers to be told.
+    /// How long ago an answer first announced to this node that the process is
+    /// leaving; unset if never, or too long ago to be sent to peers.
     std::optional<duration> leaving_for_peers(instant now) const;
 
-    /// Whether anything was said that still counts, so that the state must
-    /// outlive the target's entry.
+    /// Whether any signal still holds, so that the state must outlive the
+    /// target's entry.
     bool is_active(instant now) const;
 
 private:
     bool leaving_ = false;
-    instant leaving_heard_;     ///< Last, in whichever way.
-    instant own_leaving_heard_; ///< First, by an answer to this node.
+    instant leaving_heard_;     ///< Last, from any source.
+    instant own_leaving_heard_; ///< First, in an answer to this node.
     instant backoff_until_;
     instant cold_until_;
-    std::optional<double> rate_limit_; ///< By the last word any node got.
+    std::optional<double> rate_limit_; ///< Latest signal to any node.
     instant limit_time_;
-    std::optional<double> own_rate_; ///< By the last that this node got.
+    std::optional<double> own_rate_; ///< Latest signal to this node.
     instant own_limit_time_;
-    instant own_limit_named_; ///< The last that this node got of a limit.
+    instant own_limit_named_; ///< When this node last got a limit.
 };
 
 } // namespace fennelladder::dispatch
--- a/include/fennelladder/dispatch/target_registry.hpp
+++ b/include/fennelladder/dispatch/target_registry.hpp
@@ -1,56 +1,60 @@
-// What a node knows of the targets of all services, and where a request is
-// best sent.
+// State that a node keeps of the targets of all services, and the selection of
+// a target for each request.
 //
-//     registry.sync(list.entries(), now);                // the platform's list
+//     registry.sync(list.entries(), in_doubt, now);  // the platform's list
 //     auto made = registry.choose(request, now, random);
 //     registry.started(*made, request, now);
 //     ...
 //     registry.first_byte(*made, waited, now);
 //     registry.finished(*made, true, target_evidence::answered, now);
 //
-// A choice is the target with the least predicted time until the first byte:
+// choose() returns the target with the lowest cost, which is based on the
+// predicted time to the first byte:
 //
-//     (tokens to read there that it doesn't hold + tokens that others have it
-//      read already) / reading speed + time for what runs there,
-//     times how much slower than predicted the target has lately been,
-//     plus a penalty for its lately failed requests.
+//     (prompt tokens that the target would have to prefill + tokens that other
+//      requests have it prefill already) / prefill speed + time for the
+//      requests running there,
+//     times the target's recent slowness (measured / predicted time),
+//     plus a penalty for its recently failed requests.
 //
-// Which target holds a shared part of a prompt is known from own requests;
-// besides, all nodes expect it at the target that rendezvous hashing names
-// for the part, so that nodes agree without a message and a part is read
-// once. When another target is the better choice, it is told to fetch the
-// shared parts from the one that holds them, which takes milliseconds where
-// reading takes a tenth of a second.
+// A node knows from its own requests which target holds a shared part of a
+// prompt. In addition, all nodes expect a part at the target that rendezvous
+// hashing selects for it, so that nodes agree without exchanging messages and
+// a part is prefilled once. When another target is the better choice, it is
+// told to fetch the shared parts from the one that holds them: that takes
+// milliseconds, while prefill takes a tenth of a second.
 //
-// What others send is heard with a lag (set_peer_load). A failing target leaves
-// the choice on first-hand evidence and is tried again with one request at a
-// time. The list may lag: a target that says it is another life is dropped
-// at once.
+// The load that other nodes put on targets is known with a delay
+// (set_peer_load). An unreachable target is excluded on this node's own
+// evidence and probed with one request at a time. The platform's list may be
+// stale: a target whose address turns out to belong to another incarnation is
+// excluded at once.
 //
-// Targets of an evacuated data centre, and those outside of the regions that a
-// request names, are no choice. A cold target is one only for the nodes that
-// carry its requests (dispatch/assignment_table.hpp), and for them as often as
-// it bears. It is known to be cold by its own word or since its data centre's
-// evacuation ended; a target that answers again after it couldn't be reached
-// may have started anew, and gets one request a second from each of these nodes
-// until that is known.
+// Targets of an evacuated data centre, and targets outside the regions that a
+// request allows, are not eligible. A cold target is eligible only on the
+// nodes assigned to it (dispatch/assignment_table.hpp), within their quotas.
+// It is cold by its own signal, by its entry, or because the evacuation of its
+// data centre ended. A target that answers again after it was unreachable may
+// have restarted: until that is known, each assigned node sends it at most one
+// request a second.
 //
-// A target may name a limit of requests from all nodes together. It is a choice
-// for the nodes that carry its requests, as often as the limit allows, until an
-// answer without the limit; what other nodes were told is heard from them.
+// A target may announce a limit on the requests from all nodes together. It is
+// then eligible on its assigned nodes only, within their quotas, until an
+// answer comes without the limit. Peers report the limits announced to them.
 //
-// A target that said in an answer that it leaves is no choice any more. One
-// that turned a request away and asked for rest is none for as long, whatever
-// else is left; then one request finds out whether it works again, and others
-// go there meanwhile only if all others are ruled out.
+// A target that announced in an answer that it is leaving is not eligible any
+// more. One that rejected a request and asked for backoff is not eligible for
+// that time, even if no other target is left; afterwards one request probes
+// it, and others go there meanwhile only if all other targets are excluded.
 //
-// What is known is known of one process. When a target starts again under its
-// id, its row begins anew; what ends later at the process before, and loads
-// that peers have there, are passed over. What a process said of itself goes
-// before what the list says of it, and outlives its entry; see
+// All state belongs to one process of a target. When a target restarts under
+// its id, its state is reset; requests that end later at the previous process,
+// and the load that peers have there, are ignored. Signals of a process take
+// precedence over its entry in the list and outlive that entry; see
 // dispatch/signal_state.hpp.
 //
-// Cost: choose() is linear in the targets of the service. Not thread safe.
+// Cost: choose() is linear in the number of the service's targets. Not thread
+// safe.
 
 #ifndef FENNELLADDER_DISPATCH_TARGET_REGISTRY_HPP
 #define FENNELLADDER_DISPATCH_TARGET_REGISTRY_HPP
@@ -78,22 +82,22 @@
     std::uint32_t size = 0; ///< Tokens.
 };
 
-/// What a request asks of a target.
+/// What a request needs of a target.
 struct routing_request
 {
     service_id service;
     bool on_engine = false;
-    std::vector<shared_part> prompt;  ///< In order; the last is its own.
+    std::vector<shared_part> prompt;  ///< In order; the last is unshared.
     std::uint32_t prompt_size = 0;    ///< Tokens, all parts and the rest.
-    duration objective{0};            ///< To the first byte.
+    duration objective{0};            ///< Of the time to the first byte.
     catalog::allowed_regions regions; ///< Where it may run.
     std::vector<catalog::target_process> avoid; ///< Tried already.
 };
 
-/// Work given to a target, to be taken back with the same value.
+/// Work added to a target's load, to be subtracted with the same value.
 struct assigned_work
 {
-    std::uint32_t reading = 0; ///< Prompt tokens to be read.
+    std::uint32_t reading = 0; ///< Prompt tokens to prefill.
 };
 
 struct choice
@@ -103,50 +107,51 @@
     std::string address;
     data_center_id data_center;
     assigned_work work;
-    duration predicted{0}; ///< Until the first byte, on an average target.
-    double cost = 0;       ///< Of the target chosen, in seconds.
+    duration predicted{0}; ///< Time to first byte of an average target.
+    double cost = 0;       ///< Of the chosen target, in seconds.
     std::size_t candidates = 0;
-    int running = 0; ///< There, as known when it was chosen.
+    int running = 0; ///< Requests there, as known when it was chosen.
     /// Address of a target that holds more of the prompt's shared parts; empty
-    /// if there is nothing to gain.
+    /// if a fetch isn't worth it.
     std::string fetch_from;
 
     catalog::target_process process() const { return {target, start}; }
 };
 
-/// What the end of a request says of its target.
+/// What the end of a request shows about its target.
 enum class target_evidence : std::uint8_t
 {
     answered,    ///< It works.
-    failed,      ///< It answered with a failure of its own.
+    failed,      ///< It answered with an error of its own.
     broke,       ///< The connection ended before the answer did.
-    silent,      ///< Nothing came for too long.
+    silent,      ///< No bytes came until the timeout.
     unreachable, ///< No connection could be made.
-    full,        ///< It turned the request away.
-    other_life,  ///< Another life of a target has its address.
-    nothing      ///< Stopped from this side: says nothing.
+    full,        ///< It rejected the request.
+    other_life,  ///< Another incarnation or target has its address.
+    nothing      ///< Stopped by this node: no evidence.
 };
 
 std::string_view to_string(target_evidence value);
 
-/// Why no target can be chosen, the later the nearer it was to be one.
+/// Why a target isn't eligible. Ordered: the later the value, the closer the
+/// target is to being eligible.
 enum class no_target_reason : std::uint8_t
 {
     none_usable,     ///< None is listed, or all are gone, or were tried.
-    leaving,         ///< Those left say that they leave.
-    outside_regions, ///< Those left are outside of the regions allowed.
-    evacuated,       ///< Data centres of those left are evacuated.
-    cold,            ///< Those left are cold and have got what they bear.
-    backing_off,     ///< Those left asked this node for rest.
-    limited          ///< Those left name limits and have got what these allow.
+    leaving,         ///< The others announced that they are leaving.
+    outside_regions, ///< The others are outside the regions allowed.
+    evacuated,       ///< The data centres of the others are evacuated.
+    cold,            ///< The others are cold, and this node's quota is used up.
+    backing_off,     ///< The others asked this node for backoff.
+    limited          ///< The others announced limits; the quota is used up.
 };
 
 std::string_view to_string(no_target_reason value);
 
-/// What a service's targets bear while they are cold.
+/// Capacity of a service's targets while they are cold.
 struct cold_start_profile
 {
-    duration warm_up{0};     ///< From a target's start.
+    duration warm_up{0};     ///< How long a target is cold after its start.
     std::uint32_t limit = 0; ///< Requests in any one second, from all nodes.
 };
 
@@ -155,12 +160,12 @@
 {
     target_id target;
     std::uint32_t running = 0;
-    std::uint32_t reading = 0; ///< Tokens still to be read before answers.
-    /// Of the process; not said by nodes of earlier releases.
+    std::uint32_t reading = 0; ///< Prompt tokens still to prefill.
+    /// Of the process; unset from nodes of earlier releases.
     catalog::target_start start;
 };
 
-/// A target's word on the limit of requests that it takes.
+/// The request limit that a target announced.
 struct limit_signal
 {
     target_id target;
@@ -174,56 +179,56 @@
     host_id self;
     data_center_id own_data_center;
     std::map<data_center_id, region_id> regions; ///< Of all data centres.
-    assignment_options carriers;
-    /// Reading speed assumed of an engine, tokens a second; what a target
-    /// really does shows in its slowness. Of the engines measured so far,
-    /// 48 to 55 thousand.
+    assignment_options assignment;
+    /// Prefill speed assumed of an engine, tokens a second; deviations show in
+    /// the target's slowness. Known engines do 48 to 55 thousand.
     double prefill_speed = 50'000;
-    /// Fetching a token from another target, as a part of reading it: engines
-    /// are linked at hundreds of gigabits a second, so some milliseconds for
-    /// a part that takes a tenth of a second to read.
+    /// Cost of fetching a token from another target, relative to its prefill:
+    /// engines are linked at hundreds of gigabits a second, so it takes some
+    /// milliseconds for a part whose prefill takes a tenth of a second.
     double fetch_cost = 0.05;
-    /// A shared token that has to be read again counts as this many: the next
-    /// requests for it gain as well if it stays in one place.
+    /// A shared token that has to be prefilled again counts as this many: if
+    /// it stays in one place, the next requests for it gain as well.
     double shared_weight = 3;
-    /// Fetching less than this is not worth the detour, tokens.
+    /// Fewer tokens than this aren't worth a fetch.
     std::uint32_t min_fetch_tokens = 256;
     /// Time to the first byte that each request running on an engine adds.
     duration delay_per_running = milliseconds(2);
-    /// Whether all nodes expect a shared part at the same target before one of
+    /// Whether all nodes expect a shared part at the same target before any of
     /// them has sent it there.
     bool predicts_part_holders = true;
-    /// Whether what other nodes have running counts.
+    /// Whether the load of other nodes counts.
     bool counts_peer_load = true;
-    /// A target that fails all its requests costs this many objectives more.
+    /// Cost added for a target that fails all its requests, as a multiple of
+    /// the request's objective.
     double failure_cost = 3;
     /// Service time assumed of a plain service's target.
     duration plain_service_time = milliseconds(50);
-    /// Added for a target in another data centre: a round trip and the price
-    /// of the bytes.
+    /// Cost added for a target in another data centre: a round trip and the
+    /// price of the traffic.
     duration remote_penalty = milliseconds(4);
-    /// Weight of the newest observation in averages.
+    /// Weight of the newest observation in moving averages.
     double newest_weight = 0.25;
-    /// Slowness and failures lately seen are halved in this time, so that a
-    /// target that was shunned is tried again.
+    /// Half-life of observed slowness and failures, so that a target that was
+    /// avoided is tried again.
     duration average_half_life = seconds(3);
-    /// First and longest time that an unreachable target is left alone.
+    /// Initial and longest backoff from an unreachable target.
     duration initial_backoff = milliseconds(300);
     duration max_backoff = seconds(3);
-    /// A target from which nothing came for so long, though requests wait for
-    /// it, gets no others as long as there is another. One that is alive
-    /// answers some request, or goes on with some stream, several times a
-    /// second. 0: never.
+    /// A target that sends nothing for this long while requests wait for it
+    /// gets no others as long as there is another target. A live one answers
+    /// some request, or continues some stream, several times a second. 0: no
+    /// such limit.
     duration max_silence = seconds(1);
-    /// A target that turned requests away gets none for this long.
+    /// Backoff from a target that rejected a request.
     duration full_backoff = milliseconds(100);
-    /// How long a target that left the list is still sent work if it left
-    /// while the platform was unwell: entries that lapsed meanwhile come back
-    /// within two seconds if the target lives.
+    /// How long a target that disappeared from the list while the platform was
+    /// degraded stays eligible: entries that expired meanwhile come back within
+    /// two seconds if the target is alive.
     duration lapsed_grace = milliseconds(1500);
-    /// A part that was not used for this long counts as gone.
+    /// A part that was not used for this long counts as evicted.
     duration part_retention = seconds(20);
-    std::size_t max_parts = 4096; ///< Remembered a target.
+    std::size_t max_parts = 4096; ///< Remembered per target.
 };
 
 class target_registry
@@ -231,67 +236,68 @@
 public:
     explicit target_registry(target_registry_options options);
 
-    /// Takes the platform's list. `list_in_doubt`: the platform was unwell
-    /// lately, so missing entries may come back. Returns the earlier entries
-    /// of targets that started again or have another address: connections made
-    /// by these are of no use.
+    /// Applies the platform's list. `list_in_doubt`: the platform was recently
+    /// degraded, so missing entries may come back. Returns the previous entries
+    /// of targets that restarted or moved to another address: connections made
+    /// by these are stale.
     std::vector<catalog::target_entry>
     sync(const catalog::target_list::entry_map& listed, bool list_in_doubt,
          instant now);
 
-    /// Evacuates these data centres, and no others. Targets of one that was
-    /// evacuated count as cold from now: they may have started meanwhile, and
-    /// their entries needn't say so yet. Returns their number.
+    /// Sets the evacuated data centres. Targets of one whose evacuation ends
+    /// count as cold from now: they may have restarted meanwhile, and their
+    /// entries may not say so yet. Returns their number.
     std::size_t set_evacuated(std::vector<data_center_id> data_centers,
                               instant now);
 
-    /// Services that aren't among these have no cold targets.
+    /// Targets of services without a profile never count as cold.
     void set_cold_start_profiles(
-        std::unordered_map<service_id, cold_start_profile> traits);
+        std::unordered_map<service_id, cold_start_profile> profiles);
 
-    /// The hosts that may carry requests of targets that bear few, see
+    /// The hosts that cold and limited targets may be assigned to, see
     /// assignment_table::set_hosts().
     void set_assignable_hosts(std::vector<host_id> first,
                               std::vector<host_id> rest = {});
 
-    /// Takes what an answer of the target says of the target itself. What of
-    /// it is news.
+    /// Applies the signals in an answer of the target. Returns which of them
+    /// changed its state.
     signal_changes note_signals(const catalog::target_process& target,
-                                const catalog::target_signals& said,
+                                const catalog::target_signals& signals,
                                 instant now);
 
-    /// Words that this node has got lately of targets that name a limit, or
-    /// did so a moment ago, for its peers.
+    /// Recent limit signals to this node, for its peers, from targets that
+    /// announce a limit or did so a moment ago.
     std::vector<limit_signal> own_limits(instant now) const;
 
-    /// The same from a peer, as of `at`. Those that are news here; older words
-    /// than the last are passed over.
+    /// Applies a peer's limit signals, as of `at`. Returns those that changed
+    /// something here; signals older than the last one are ignored.
     std::vector<limit_signal>
-    merge_peer_limits(const std::vector<limit_signal>& words, instant at);
+    merge_peer_limits(const std::vector<limit_signal>& signals, instant at);
 
-    /// How long it takes until a target that asked for rest may be chosen, if
-    /// all others of the request's service that could be are no choice for
-    /// longer than a moment; unset if one is, or if none will be. What was
-    /// tried already counts as well: this is for the caller's next request.
+    /// How long until the first target that asked for backoff is eligible
+    /// again. Unset if a target of the request's service is eligible, or will
+    /// be in a moment (cold or limited), or if none asked for backoff.
+    /// `avoid` is ignored, since this is for the caller's next request.
     std::optional<duration> backoff_wait(const routing_request& request,
                                          instant now) const;
 
-    /// Targets that have told this node lately that they leave, and whose
-    /// entries don't say so, for its peers; the newest of them, at most `most`.
+    /// For peers: targets that recently announced to this node that they are
+    /// leaving, and whose entries don't say so. The newest, at most `most`.
     std::vector<catalog::target_process> own_leaving(std::size_t most,
                                                      instant now) const;
 
-    /// The same from a peer. Those that are news here.
+    /// Applies leaving targets reported by a peer. Returns those that are new
+    /// here.
     std::vector<catalog::target_process>
     merge_peer_leaving(const std::vector<catalog::target_process>& targets,
                        instant now);
 
-    /// The best target, or nothing when the service has none to offer.
+    /// The eligible target with the lowest cost, or nothing if there is none.
     std::optional<choice> choose(const routing_request& request, instant now,
                                  random_source& random);
 
-    /// Why choose() finds nothing for this request, by the target that was
-    /// nearest to be chosen.
+    /// Why choose() finds nothing for this request, by the target that is
+    /// closest to being eligible.
     no_target_reason why_no_target(const routing_request& request,
                                    instant now) const;
 
@@ -299,31 +305,31 @@
     /// the same choice.
     void started(const choice& made, const routing_request& of, instant now);
 
-    /// The first byte came `waited` after sending; its prompt is read.
+    /// The first byte came `waited` after sending, so the prefill is done.
     void first_byte(const choice& made, duration waited, instant now);
 
-    /// Bytes of an answer came: the target is alive.
+    /// Bytes of an answer came, so the target is alive.
     void note_activity(const catalog::target_process& target, instant now);
 
-    /// The request is over; `read` says whether first_byte() was called.
-    void finished(const choice& made, bool read, target_evidence evidence,
+    /// The request is over; `prefilled` says whether first_byte() was called.
+    void finished(const choice& made, bool prefilled, target_evidence evidence,
                   instant now);
 
-    /// No request was started, but this was learned (a connection failed).
+    /// Evidence without a started request, such as a failed connection.
     void note_evidence(const catalog::target_process& target,
                        target_evidence evidence, instant now);
 
-    /// Another node's load, replacing what it said before.
+    /// Replaces the load that another node reported before.
     void set_peer_load(const host_id& peer, std::vector<target_load> load);
     void forget_peer(const host_id& peer);
 
-    /// What this node has running, for its peers.
+    /// This node's load, for its peers.
     std::vector<target_load> own_load() const;
 
     /// True if the target may take new work now.
     bool may_use(const target_id& target, instant now) const;
 
-    /// The entry of a target that is still known.
+    /// The entry of a target; unset if the target isn't known any more.
     std::optional<catalog::target_entry>
     entry_of(const target_id& target) const;
 
@@ -339,9 +345,9 @@
     struct target_state
     {
         catalog::target_entry entry;
-        std::optional<instant> usable_until; ///< Left the list in doubt.
+        std::optional<instant> usable_until; ///< Left a list in doubt.
         bool gone = false;                   ///< Left the list.
-        bool address_reused = false;         ///< Its address is another's.
+        bool address_reused = false;         ///< By another process.
         int running = 0;
         std::int64_t reading = 0;
         int peers_running = 0;
@@ -349,17 +355,17 @@
         decaying_average log_slowness; ///< Natural logarithm; 0: as predicted.
         decaying_average failures;     ///< Share, 0 to 1.
         instant backoff_until;
-        int awaiting_first_byte = 0; ///< Requests without a first byte.
-        instant
-            silent_since; ///< Nothing came since, or nothing was waited for.
-        int consecutive_backoffs = 0; ///< In a row.
-        bool probe_pending =
-            false; ///< It had asked for rest and took none since.
-        bool probe_running = false; ///< One request finds out whether it works.
+        int awaiting_first_byte = 0; ///< Requests.
+        /// When the last byte came, or when requests began to wait.
+        instant silent_since;
+        int consecutive_backoffs = 0;
+        /// It asked for backoff and has served no request since.
+        bool probe_pending = false;
+        bool probe_running = false; ///< One request tests whether it works.
         std::unordered_map<std::uint64_t, instant> parts; ///< Last use.
-        signal_state signals;     ///< By the process itself.
-        instant maybe_cold_until; ///< It may have started anew, unannounced.
-        recent_sends sends;       ///< While it is rationed.
+        signal_state signals;
+        instant maybe_cold_until; ///< It may have restarted unannounced.
+        recent_sends sends;       ///< While this node has a quota for it.
     };
 
     using state_map = std::map<target_id, target_state>;
@@ -373,7 +379,7 @@
     std::optional<no_target_reason>
     exclusion_reason(const target_state& it, const routing_request& request,
                      instant now) const;
-    const cold_start_profile* traits_of(const target_state& it) const;
+    const cold_start_profile* profile_of(const target_state& it) const;
     std::optional<std::uint32_t> cold_quota(const target_state& it,
                                             instant now) const;
     bool cold_quota_used_up(const target_state& it, instant now) const;
@@ -403,7 +409,7 @@
     void back_off(target_state& it, duration first, instant now);
     static void mark_active(target_state& it, instant now);
     void trim_parts(target_state& it, instant now) const;
-    /// Null unless this process is the one that is known of its id.
+    /// Null unless this process is the known one of its id.
     target_state* find(const catalog::target_process& target);
     target_state* find(const target_load& load);
     static void apply_entry(target_state& it,
@@ -414,16 +420,16 @@
     void add_peer(const std::vector<target_load>& load, int sign);
 
     target_registry_options options_;
-    assignment_table carriers_;
+    assignment_table assignments_;
     std::vector<data_center_id> evacuated_; ///< Sorted.
-    std::unordered_map<service_id, cold_start_profile> cold_traits_;
+    std::unordered_map<service_id, cold_start_profile> profiles_;
     state_map targets_;
     std::unordered_map<service_id, std::vector<target_id>> by_service_;
     std::map<host_id, std::vector<target_load>> peer_loads_;
 };
 
-/// The part of a prompt by which requests are brought together: the last one
-/// that is not the request's own. Nothing without a prompt.
+/// The part of a prompt by which requests are routed to the same target: the
+/// last shared one. Unset without a prompt.
 std::optional<std::uint64_t> affinity_part(std::span<const shared_part> prompt);
 
 } // namespace fennelladder::dispatch
--- a/libs/dispatch/assignment_table.cpp
+++ b/libs/dispatch/assignment_table.cpp
@@ -17,7 +17,7 @@
     return a.first != b.first ? a.first > b.first : *a.second < *b.second;
 }
 
-/// Ranks kept; targets come and go.
+/// Bounds the cache of ranks, since targets come and go.
 constexpr std::size_t max_ranks = 4096;
 
 bool contains(const std::vector<host_id>& hosts, const host_id& host)
@@ -43,8 +43,8 @@
     is_rest_ = contains(rest_, self_);
 }
 
-/// How many hosts come before this one for the target. Precondition: it is
-/// among them.
+/// How many hosts rank before this one for the target. Precondition: this host
+/// is in one of the two lists.
 std::size_t assignment_table::rank(const target_id& target) const
 {
     assert(is_first_ || is_rest_);
@@ -72,14 +72,15 @@
 std::uint32_t assignment_table::cold_quota(const target_id& target,
                                            std::uint32_t limit) const
 {
-    const auto planned = static_cast<std::size_t>(limit * options_.planned);
+    const auto planned =
+        static_cast<std::size_t>(limit * options_.planned_share);
     if (!is_first_ || planned == 0)
         return 0;
-    const std::size_t carriers =
-        std::min({options_.carriers, first_.size(), planned});
-    if (rank(target) >= carriers)
+    const std::size_t assigned =
+        std::min({options_.assigned_nodes, first_.size(), planned});
+    if (rank(target) >= assigned)
         return 0;
-    return static_cast<std::uint32_t>(planned / carriers);
+    return static_cast<std::uint32_t>(planned / assigned);
 }
 
 std::uint32_t assignment_table::limited_quota(const target_id& target,
@@ -88,21 +89,21 @@
 {
     if (!is_first_ && !is_rest_)
         return 0;
-    // One request in a span finds out whether the limit is over.
+    // At least one request per window, to detect the end of the limit.
     const double each_span = std::max(rate * to_seconds(limit_window), 1.0);
     const auto planned = static_cast<std::size_t>(each_span);
-    const std::size_t carriers =
-        std::min(std::max(std::min(options_.carriers, planned),
+    const std::size_t assigned =
+        std::min(std::max(std::min(options_.assigned_nodes, planned),
                           planned / options_.min_requests_per_node),
                  first_.size() + rest_.size());
     const std::size_t ahead = rank(target);
-    if (ahead < carriers)
-        return static_cast<std::uint32_t>(planned / carriers +
-                                          (ahead < planned % carriers ? 1 : 0));
+    if (ahead < assigned)
+        return static_cast<std::uint32_t>(planned / assigned +
+                                          (ahead < planned % assigned ? 1 : 0));
     const double spans =
         std::max(to_seconds(silence) / to_seconds(limit_window), 0.0);
     const auto more = static_cast<std::size_t>(each_span * spans / 4);
-    return ahead < carriers + more ? 1 : 0;
+    return ahead < assigned + more ? 1 : 0;
 }
 
 void recent_sends::note(instant now)
--- a/libs/dispatch/assignment_table_test.cpp
+++ b/libs/dispatch/assignment_table_test.cpp
@@ -122,7 +122,7 @@
     for (const std::size_t carriers :
          {std::size_t(1), std::size_t(3), std::size_t(12)}) {
         assignment_options by_heard;
-        by_heard.carriers = carriers;
+        by_heard.assigned_nodes = carriers;
         CHECK(most_of_targets(all, heard, by_heard) > limit);
     }
 }
@@ -133,7 +133,7 @@
     const hosts all = fleet(77);
     const auto starved = [&](std::size_t carriers) {
         assignment_options options;
-        options.carriers = carriers;
+        options.assigned_nodes = carriers;
         int out = 0;
         for (int i = 0; i < 200; ++i) {
             std::uint32_t sum = 0;
--- a/libs/dispatch/attempt_policy.cpp
+++ b/libs/dispatch/attempt_policy.cpp
@@ -11,15 +11,16 @@
     return so_far.way->repeats == catalog::repeat_rule::idempotent;
 }
 
-/// A stream of which the caller has a part goes on only where it may.
-bool may_go_on(const request_state& so_far)
+/// An answer that the caller has begun to receive can only be resumed if it is
+/// a stream of a resumable route.
+bool may_resume(const request_state& so_far)
 {
     return !so_far.head_passed_on ||
            (so_far.way->resumable && !so_far.part_stands_alone);
 }
 
-bool has_room(const request_state& so_far, attempt_end ended,
-              const attempt_policy_options& options)
+bool within_limits(const request_state& so_far, attempt_end ended,
+                   const attempt_policy_options& options)
 {
     if (so_far.time_left < options.min_time_left)
         return false;
@@ -104,14 +105,14 @@
         return {next_action::finish, false};
     if (ended == attempt_end::out_of_time)
         return {give_up(so_far, ended), false};
-    const bool unharmed = proved_not_run(ended);
-    const bool allowed = may_go_on(so_far) &&
+    const bool not_run = proved_not_run(ended);
+    const bool allowed = may_resume(so_far) &&
                          so_far.may_have_run < so_far.way->max_targets &&
-                         (unharmed || may_repeat(so_far));
-    // What may run once and may have run is never sent again, also when the
-    // last attempt was rejected.
+                         (not_run || may_repeat(so_far));
+    // A request that may run only once and may have run is never sent again,
+    // even if the last attempt was rejected.
     const bool safe = may_repeat(so_far) || so_far.may_have_run == 0;
-    if (!allowed || !safe || !has_room(so_far, ended, options))
+    if (!allowed || !safe || !within_limits(so_far, ended, options))
         return {give_up(so_far, ended), false};
     // Nothing reached a target when there was no connection.
     return {next_action::try_other, ended != attempt_end::not_connected};
--- a/libs/dispatch/poison_list.cpp
+++ b/libs/dispatch/poison_list.cpp
@@ -52,10 +52,10 @@
 
 bool poison_list::merge(const poison_record& record, instant now)
 {
-    bool news = false;
+    bool changed = false;
     for (const catalog::target_process& it : record.deaths)
-        news |= note_death(record.mark, it, now);
-    return news;
+        changed |= note_death(record.mark, it, now);
+    return changed;
 }
 
 void poison_list::forget(instant now)
@@ -65,7 +65,7 @@
     std::erase_if(entries_, [&](const auto& it) {
         return now - it.second.last >= options_.retention;
     });
-    // Still full: those with one death are the least worth keeping.
+    // Still full: drop the records below the threshold.
     if (entries_.size() > options_.max_records)
         std::erase_if(entries_, [&](const auto& it) {
             return it.second.deaths.size() < options_.deaths;
--- a/libs/dispatch/retry_budget.cpp
+++ b/libs/dispatch/retry_budget.cpp
@@ -1,5 +1,6 @@
-// Time is cut into slices of a twentieth of the window. A slice counts only
-// while all of it lies in the window, so that rounding never allows too much.
+// Requests are counted in slices of a twentieth of the window. A slice counts
+// only while all of it lies in the window, so that rounding never allows more
+// than the limit.
 
 #include "fennelladder/dispatch/retry_budget.hpp"
 
@@ -25,7 +26,8 @@
            (options_.share * requests + own_slack());
 }
 
-/// Earns the slack since the last time and drops what is too old to be saved.
+/// Credits the slack since the last call and drops slices older than the
+/// window, which lowers the maximum balance.
 void retry_budget::settle(account& it, instant now) const
 {
     while (!it.slices.empty() &&
--- a/libs/dispatch/signal_state.cpp
+++ b/libs/dispatch/signal_state.cpp
@@ -7,41 +7,41 @@
 
 namespace {
 
-/// A limit of which no node had a word for so long is over: the target can't
-/// have had a request since.
+/// A limit expires when no node got a signal on it for this long: the target
+/// can't have had a request since.
 constexpr duration limit_memory = minutes(2);
 
-/// An entry that isn't listed for so long after its process said that it
-/// leaves doesn't come back.
+/// An entry that isn't listed for this long after its process announced that
+/// it is leaving doesn't come back.
 constexpr duration leaving_memory = minutes(10);
 
-/// For how long a signal is told to peers.
+/// How long a signal is reported to peers.
 constexpr duration peer_report_span = seconds(10);
 
-bool is_within(instant said, duration span, instant now)
+bool is_within(instant at, duration span, instant now)
 {
-    return said != instant() && now - said <= span;
+    return at != instant() && now - at <= span;
 }
 
 } // namespace
 
-signal_changes signal_state::apply(const catalog::target_signals& said,
+signal_changes signal_state::apply(const catalog::target_signals& signals,
                                    instant now)
 {
     signal_changes out;
-    if (said.leaving) {
+    if (signals.leaving) {
         out.leaving = apply_peer_leaving(now);
         if (own_leaving_heard_ == instant())
             own_leaving_heard_ = now;
     }
-    if (said.rest && now + *said.rest > backoff_until_) {
-        backoff_until_ = now + *said.rest;
+    if (signals.rest && now + *signals.rest > backoff_until_) {
+        backoff_until_ = now + *signals.rest;
         out.rest = true;
     }
-    if (said.cold_left)
-        extend_cold_until(now + *said.cold_left);
-    if (said.rate_limit || said.is_latest) {
-        own_rate_ = said.rate_limit;
+    if (signals.cold_left)
+        extend_cold_until(now + *signals.cold_left);
+    if (signals.rate_limit || signals.is_latest) {
+        own_rate_ = signals.rate_limit;
         own_limit_time_ = now;
         if (own_rate_)
             own_limit_named_ = now;
--- a/libs/dispatch/target_choice.cpp
+++ b/libs/dispatch/target_choice.cpp
@@ -1,4 +1,4 @@
-// The part of target_registry that compares targets for one request.
+// The part of target_registry that selects the target for a request.
 
 #include "fennelladder/dispatch/target_registry.hpp"
 
@@ -12,14 +12,14 @@
 
 namespace {
 
-/// Ranks for rendezvous hashing: the target with the highest weight for a
-/// part is where all nodes expect it.
+/// Rendezvous hashing: all nodes expect a part at the target with the highest
+/// weight for it.
 std::uint64_t weight(std::uint64_t part, const target_id& target)
 {
     return hash64(target.str(), part);
 }
 
-/// Tokens of all parts but the request's own.
+/// Tokens of all parts but the unshared last one.
 std::uint32_t shared_size(const std::vector<shared_part>& prompt)
 {
     std::uint32_t out = 0;
@@ -37,8 +37,8 @@
     return prompt.size() > 1 ? prompt[prompt.size() - 2].id : prompt[0].id;
 }
 
-/// Tokens of the prompt that the target holds. A part counts only if all parts
-/// before it are held.
+/// Tokens of the prompt that the target is assumed to hold. A part counts only
+/// if all parts before it are held.
 std::uint32_t target_registry::held_tokens(const target_state& it,
                                            const routing_request& request,
                                            bool expected_here,
@@ -57,7 +57,7 @@
     return std::min(out, request.prompt_size);
 }
 
-/// Where all nodes expect the shared parts of the prompt.
+/// The target where all nodes expect the shared parts of the prompt.
 const target_registry::target_state*
 target_registry::expected_holder(const std::vector<target_state*>& candidates,
                                  const routing_request& request,
@@ -114,7 +114,7 @@
            request.avoid.end();
 }
 
-/// A data centre of which no region is known is in none of those allowed.
+/// A data centre without a known region counts as outside all allowed regions.
 bool target_registry::is_outside(const target_state& it,
                                  const routing_request& request) const
 {
@@ -126,7 +126,7 @@
                request.regions->end();
 }
 
-/// Why the target is no choice for this request; nothing if it is one.
+/// Why the target isn't eligible for this request; nothing if it is.
 std::optional<no_target_reason> target_registry::exclusion_reason(
     const target_state& it, const routing_request& request, instant now) const
 {
@@ -155,8 +155,8 @@
     if (known == by_service_.end())
         return out;
     for (const target_id& id : known->second)
-        if (const auto bar = exclusion_reason(targets_.at(id), request, now))
-            out = std::max(out, *bar);
+        if (const auto reason = exclusion_reason(targets_.at(id), request, now))
+            out = std::max(out, *reason);
     return out;
 }
 
@@ -167,15 +167,15 @@
     const auto known = by_service_.find(request.service);
     if (known == by_service_.end())
         return out;
-    routing_request any = request;
-    any.avoid.clear();
+    routing_request without_avoid = request;
+    without_avoid.avoid.clear();
     for (const target_id& id : known->second) {
         const target_state& it = targets_.at(id);
-        const auto bar = exclusion_reason(it, any, now);
-        if (!bar || *bar == no_target_reason::cold ||
-            *bar == no_target_reason::limited)
+        const auto reason = exclusion_reason(it, without_avoid, now);
+        if (!reason || *reason == no_target_reason::cold ||
+            *reason == no_target_reason::limited)
             return std::nullopt;
-        if (*bar != no_target_reason::backing_off)
+        if (*reason != no_target_reason::backing_off)
             continue;
         const duration left = it.signals.backoff_left(now);
         out = out ? std::min(*out, left) : left;
@@ -198,7 +198,7 @@
     }
     if (candidates.empty())
         return std::nullopt;
-    // Resting targets are used only when all others are ruled out.
+    // Targets in backoff are used only when all others are excluded.
     const bool all_backing_off =
         std::ranges::all_of(candidates, [&](const target_state* it) {
             return is_backing_off(*it, now);
@@ -227,19 +227,19 @@
         const std::uint32_t reading = request.prompt_size - here;
         const std::uint32_t fetched =
             held_most > here + options_.min_fetch_tokens ? held_most - here : 0;
-        // A holder may have lost the part, and a part that lies in two places
-        // is soon found in neither: the choice counts it as read in full, and
-        // shared parts more than the request's own.
+        // The holder may have evicted the part, and a part held by two targets
+        // is soon evicted by both. Hence the cost counts a fetched part as
+        // fully prefilled, and shared parts more than the unshared one.
         const std::uint32_t shared = shared_size(request.prompt);
         const double again = shared > here ? shared - here : 0;
-        const auto weighed = static_cast<std::uint32_t>(
+        const auto weighted = static_cast<std::uint32_t>(
             reading + again * (options_.shared_weight - 1));
-        const double price =
-            cost(*it, request, predicted_seconds(*it, request, weighed), now);
-        if (chosen != nullptr && price >= out.cost)
+        const double target_cost =
+            cost(*it, request, predicted_seconds(*it, request, weighted), now);
+        if (chosen != nullptr && target_cost >= out.cost)
             continue;
         chosen = it;
-        out.cost = price;
+        out.cost = target_cost;
         out.work.reading = reading - static_cast<std::uint32_t>(
                                          fetched * (1 - options_.fetch_cost));
         out.predicted =
--- a/libs/dispatch/target_registry.cpp
+++ b/libs/dispatch/target_registry.cpp
@@ -1,4 +1,4 @@
-// Averages fade: an observation's weight is halved every average_half_life, so
+// Averages decay: an observation's weight is halved every average_half_life, so
 // a target that gets no requests drifts back to "as predicted" and is tried
 // again.
 
@@ -12,12 +12,12 @@
 
 namespace {
 
-/// Bounds of one slowness observation; a single odd wait must not condemn a
-/// target for long.
+/// Bounds of one slowness observation, so that a single outlier doesn't exclude
+/// a target for long.
 constexpr double min_slowness = 0.5;
 constexpr double max_slowness = 30;
 
-/// Waits shorter than this say more of the network than of the target.
+/// Seconds. Shorter waits reflect the network rather than the target.
 constexpr double min_wait = 0.005;
 
 } // namespace
@@ -67,7 +67,8 @@
 }
 
 target_registry::target_registry(target_registry_options options)
-    : options_(std::move(options)), carriers_(options_.self, options_.carriers)
+    : options_(std::move(options)),
+      assignments_(options_.self, options_.assignment)
 {}
 
 std::vector<catalog::target_entry>
@@ -98,7 +99,7 @@
     return replaced;
 }
 
-/// What was learned by an address that the process has left.
+/// Resets the state learned at an address that the process has left.
 void target_registry::forget_address(target_state& it)
 {
     it.address_reused = false;
@@ -108,32 +109,33 @@
     it.failures = {};
 }
 
-/// A later start empties the row: kept, the averages, consecutive_backoffs and
-/// counts of a process that is over would shun the next one, and the prompt's
-/// parts would send requests to where nothing is held. An earlier start is
-/// passed over, so that no row gets the ends of requests that it didn't count
-/// as started.
+/// A later start resets the state: the averages, backoffs and counts of a
+/// process that ended would exclude the next one, and its prompt parts would
+/// attract requests to a target that doesn't hold them. An earlier start is
+/// ignored, so that no state gets the ends of requests that it didn't count as
+/// started.
 void target_registry::apply_entry(target_state& it,
                                   const catalog::target_entry& entry,
                                   instant now,
                                   std::vector<catalog::target_entry>& replaced)
 {
-    const bool fresh = it.entry.id.empty();
-    if (!fresh && entry.start < it.entry.start)
+    const bool is_new = it.entry.id.empty();
+    if (!is_new && entry.start < it.entry.start)
         return;
     const bool same_process = entry.start == it.entry.start;
     const bool moved = entry.address != it.entry.address;
-    if (!fresh && (!same_process || moved))
+    if (!is_new && (!same_process || moved))
         replaced.push_back(it.entry);
-    // An entry that comes again says nothing new of when its target is warm.
-    const bool cold_anew =
+    // A repeated entry says nothing new about when its target is warm.
+    const bool warm_up_changed =
         !same_process || entry.warm_up_left != it.entry.warm_up_left;
     if (!same_process)
         it = target_state();
-    // Without starts, only a move shows that another process has the id.
+    // Without start times, only a new address shows that another process has
+    // the id.
     if (moved && !catalog::is_said(entry.start))
         it.signals = signal_state();
-    if (cold_anew && entry.warm_up_left > duration(0))
+    if (warm_up_changed && entry.warm_up_left > duration(0))
         it.signals.extend_cold_until(now + entry.warm_up_left);
     if (moved)
         forget_address(it);
@@ -142,7 +144,8 @@
     it.usable_until.reset();
 }
 
-/// Targets came and went: counts are taken from what peers said last.
+/// Recomputes the peers' load of all targets from their latest reports, after
+/// targets were added or removed.
 void target_registry::recount_peers()
 {
     for (auto& [id, state] : targets_) {
@@ -212,8 +215,8 @@
         if (!ends)
             continue;
         ++ended;
-        if (const cold_start_profile* traits = traits_of(state))
-            state.signals.extend_cold_until(now + traits->warm_up);
+        if (const cold_start_profile* profile = profile_of(state))
+            state.signals.extend_cold_until(now + profile->warm_up);
     }
     evacuated_ = std::move(data_centers);
     return ended;
@@ -221,8 +224,8 @@
 
 bool target_registry::is_backing_off(const target_state& it, instant now) const
 {
-    const bool one_at_a_time = it.consecutive_backoffs > 0 || it.probe_pending;
-    return now < it.backoff_until || (one_at_a_time && it.probe_running) ||
+    const bool needs_probe = it.consecutive_backoffs > 0 || it.probe_pending;
+    return now < it.backoff_until || (needs_probe && it.probe_running) ||
            is_silent(it, now);
 }
 
@@ -231,19 +234,19 @@
     return it.signals.backoff_left(now) > duration(0);
 }
 
-/// An answer to a request that was under way as the target asked for rest says
-/// nothing of the time after.
+/// Keeps the probe pending if the target's backoff still lasts: the answer is
+/// then to a request sent before, and shows nothing about the time after.
 void target_registry::end_probe(target_state& it, instant now)
 {
     if (!backoff_requested(it, now))
         it.probe_pending = false;
 }
 
-/// Guards against a host that goes dark: its requests may not be sent again
-/// and therefore wait for their deadlines, and until the first of them ends
-/// nothing else says that the target is gone, so that it would get its share
-/// of new ones for seconds. One that lives again answers, or its connections
-/// are reset; both end the quiet.
+/// Detects a host that disappears without closing its connections: requests
+/// there that may not be retried wait for their deadlines, and until the first
+/// of them ends nothing else shows that the target is gone, so it would get its
+/// share of new ones for seconds. If it is alive again it answers, or its
+/// connections are reset; both end the silence.
 bool target_registry::is_silent(const target_state& it, instant now) const
 {
     return options_.max_silence > duration(0) && it.awaiting_first_byte > 0 &&
@@ -293,7 +296,7 @@
     return &it->second;
 }
 
-/// A load without a start is of whichever process is known.
+/// A load without a start time is attributed to the known process.
 target_registry::target_state* target_registry::find(const target_load& load)
 {
     if (catalog::is_said(load.start))
@@ -348,7 +351,7 @@
     observe(it->log_slowness, std::log(slowness), now);
 }
 
-void target_registry::finished(const choice& made, bool read,
+void target_registry::finished(const choice& made, bool prefilled,
                                target_evidence evidence, instant now)
 {
     target_state* it = find(made.process());
@@ -356,14 +359,14 @@
         return;
     assert(it->running > 0);
     --it->running;
-    if (!read) {
+    if (!prefilled) {
         it->reading -= made.work.reading;
         --it->awaiting_first_byte;
     }
-    const bool spoke = evidence == target_evidence::answered ||
-                       evidence == target_evidence::failed ||
-                       evidence == target_evidence::full;
-    if (spoke)
+    const bool answered = evidence == target_evidence::answered ||
+                          evidence == target_evidence::failed ||
+                          evidence == target_evidence::full;
+    if (answered)
         mark_active(*it, now);
     note_evidence(made.process(), evidence, now);
 }
@@ -407,7 +410,7 @@
         return;
     case target_evidence::unreachable:
         observe(it->failures, 1, now);
-        // Several requests may fail at once; that is one rest.
+        // Several requests may fail at once; that counts as one backoff.
         if (now >= it->backoff_until)
             back_off(*it, options_.initial_backoff, now);
         return;
--- a/libs/dispatch/target_signals.cpp
+++ b/libs/dispatch/target_signals.cpp
@@ -1,5 +1,5 @@
-// The part of target_registry that takes what targets say of themselves, from
-// their answers and from peers, and tells it to peers.
+// The part of target_registry that applies the signals of targets, from their
+// answers and from peers, and reports them to peers.
 
 #include "fennelladder/dispatch/target_registry.hpp"
 
@@ -10,35 +10,36 @@
 
 signal_changes
 target_registry::note_signals(const catalog::target_process& target,
-                              const catalog::target_signals& said, instant now)
+                              const catalog::target_signals& signals,
+                              instant now)
 {
     target_state* it = find(target);
     if (it == nullptr)
         return {};
-    it->probe_pending |= said.rest.has_value();
-    return it->signals.apply(said, now);
+    it->probe_pending |= signals.rest.has_value();
+    return it->signals.apply(signals, now);
 }
 
 std::vector<limit_signal> target_registry::own_limits(instant now) const
 {
     std::vector<limit_signal> out;
     for (const auto& [id, state] : targets_)
-        if (const auto word = state.signals.limit_for_peers(now))
-            out.push_back({id, state.entry.start, word->rate, word->ago});
+        if (const auto signal = state.signals.limit_for_peers(now))
+            out.push_back({id, state.entry.start, signal->rate, signal->ago});
     return out;
 }
 
 std::vector<limit_signal>
-target_registry::merge_peer_limits(const std::vector<limit_signal>& words,
+target_registry::merge_peer_limits(const std::vector<limit_signal>& signals,
                                    instant at)
 {
     std::vector<limit_signal> out;
-    for (const limit_signal& word : words) {
+    for (const limit_signal& signal : signals) {
         target_state* it =
-            find(catalog::target_process{word.target, word.start});
+            find(catalog::target_process{signal.target, signal.start});
         if (it != nullptr &&
-            it->signals.apply_peer_limit(word.rate, at - word.ago))
-            out.push_back(word);
+            it->signals.apply_peer_limit(signal.rate, at - signal.ago))
+            out.push_back(signal);
     }
     return out;
 }
@@ -46,15 +47,15 @@
 std::vector<catalog::target_process>
 target_registry::own_leaving(std::size_t most, instant now) const
 {
-    std::vector<std::pair<duration, catalog::target_process>> told;
+    std::vector<std::pair<duration, catalog::target_process>> reported;
     for (const auto& [id, state] : targets_) {
         const auto ago = state.signals.leaving_for_peers(now);
         if (ago && !state.entry.leaving)
-            told.emplace_back(*ago, state.entry.process());
+            reported.emplace_back(*ago, state.entry.process());
     }
-    std::ranges::sort(told);
+    std::ranges::sort(reported);
     std::vector<catalog::target_process> out;
-    for (const auto& [ago, process] : told)
+    for (const auto& [ago, process] : reported)
         if (out.size() < most)
             out.push_back(process);
     return out;
