--- a/include/fennelladder/prepaid/allotment_record.hpp
+++ b/include/fennelladder/prepaid/allotment_record.hpp
@@ -1,19 +1,21 @@
-// How much of each team's prepaid tokens was handed out to nodes so far: the
-// one durable record behind all purses.
+// How much of each team's prepaid tokens has been allotted to nodes: the single
+// durable record behind the token balances of all nodes.
 //
-//     allotment_draft draft = draft_allotment(record, config, wishes, mark);
+//     allotment_draft draft =
+//         draft_allotment(record, prepaid, requested, writer, id);
 //     ... conditional write of draft.record ...
-//     on success: purse.credit(each of draft.granted)
-//     no answer:  read back; contains_write(read, mark) decides
+//     on success: balances.credit(each of draft.granted)
+//     no answer:  read back; contains_write(read, writer, id) decides
 //
-// Invariant: the amount allotted of a team never exceeds what was prepaid in
-// the configuration that the writer knows. Each writer raises amounts under
-// the condition that the record hasn't changed since it was read, so two
-// writers can't hand out the same tokens.
+// Invariant: the amount allotted to a team never exceeds what was prepaid in
+// the configuration that the writer knows. Each writer raises amounts on the
+// condition that the record hasn't changed since it was read, so two writers
+// can't allot the same tokens.
 //
-// A lost reply doesn't say whether a write took effect. Each write leaves its
-// writer's mark; a reader that finds the mark knows that it did, one that
-// finds another revision without the mark knows that it never will.
+// A lost reply leaves it unknown whether a write took effect. Each write leaves
+// its id in the record: a reader that finds the id knows that the write took
+// effect; one that finds a later revision without the id knows that it never
+// will.
 //
 // All functions are pure and thread safe.
 
@@ -30,7 +32,7 @@
 
 namespace fennelladder::prepaid {
 
-/// Names one write: the writer's incarnation and a number.
+/// Identifies one write: the writer's incarnation and a number.
 using write_id = std::string;
 
 struct allotment_record
@@ -50,31 +52,31 @@
     token_amounts granted; ///< Only teams that get some.
 };
 
-/// Raises `record` by as much of each wish as is left of what was prepaid.
+/// Raises `record` by each requested amount, as far as prepaid tokens are left.
 allotment_draft draft_allotment(const allotment_record& record,
                                 const token_amounts& prepaid,
-                                const token_amounts& wishes,
-                                const host_id& writer, const write_id& mark);
+                                const token_amounts& requested,
+                                const host_id& writer, const write_id& id);
 
-/// Whether the write named by `mark` is in the record.
+/// Whether the record contains the write `id` of `writer`.
 bool contains_write(const allotment_record& record, const host_id& writer,
-                    const write_id& mark);
+                    const write_id& id);
 
-/// What is left to hand out; 0 for a team that isn't prepaid.
+/// Prepaid tokens not allotted yet; 0 for a team that isn't prepaid.
 tokens unallotted(const allotment_record& record, const token_amounts& prepaid,
                   const team_id& team);
 
-/// Whether `later` can have come after `earlier`: no team's amount is less.
+/// Whether `later` may be a successor of `earlier`: no team's amount is less.
 bool may_follow(const allotment_record& earlier, const allotment_record& later);
 
-/// More than any team prepays; below it sums don't overflow.
+/// More than any team prepays; sums of amounts below it don't overflow.
 inline constexpr tokens max_allotted(1'000'000'000'000'000);
 
 nlohmann::json to_json(const allotment_record& record);
 
-/// Fails with `corrupt` on anything but what to_json() makes, with amounts
-/// from 0 to max_allotted: then nothing may be handed out. A record in which
-/// something is missing must not count as one in which nothing was allotted.
+/// Fails with `corrupt` on anything but the output of to_json() with amounts
+/// from 0 to max_allotted; nothing may be allotted then. A record with a
+/// missing part must not be taken for one in which nothing was allotted.
 result<allotment_record> allotment_from_json(const nlohmann::json& content);
 
 } // namespace fennelladder::prepaid
--- a/include/fennelladder/prepaid/loss_tracker.hpp
+++ b/include/fennelladder/prepaid/loss_tracker.hpp
@@ -1,18 +1,19 @@
-// How much of the fleet's stock died lately, as a number of whole fleets.
+// Estimates how much of the fleet's stock was lost recently through deaths of
+// nodes, in units of the whole fleet.
 //
 //     loss_tracker losses(first_start, now);
 //     losses.note_death(hosts, now);          // a process ended unannounced
-//     losses.merge_peer(said, now);                 // what an older node
-//     remembers state.losses = losses.at(now);          // for
-//     prepaid/stock_plan.hpp
+//     losses.merge_peer(reported, now);       // estimate of an older node
+//     state.losses = losses.at(now);          // for prepaid/stock_plan.hpp
 //
-// What is stocked is lost with the node that holds it. After deaths others are
-// likelier, so less should lie about; the outage memory pulls the other way.
+// Stock is lost with the node that holds it. After deaths further ones are more
+// likely, so less should be stocked; past outages of the platform
+// (outage_tracker.hpp) call for more.
 //
-// A process that starts takes over what an older node remembers. Where there
-// is none, all died together: that counts as one whole fleet, except at the
-// first start of the system. Until a node has had the time to hear older ones,
-// it tells nobody what it only presumes.
+// A process that starts takes over the estimate of an older node. If there is
+// no older node, all nodes died together: that counts as the loss of one whole
+// fleet, except at the first start of the system. Until a process has had the
+// time to hear from older nodes, it doesn't report this assumption to others.
 //
 // Not thread safe.
 
@@ -28,39 +29,39 @@
 
 struct loss_tracker_options
 {
-    /// A loss counts half as much after this long.
+    /// Half-life of a loss.
     duration half_life = minutes(5);
-    /// By then a process that starts has heard the older ones.
+    /// By then a process that starts has heard from older nodes.
     duration discovery_time = seconds(3);
 };
 
 class loss_tracker
 {
 public:
-    /// `first_start`: no process of the system ran before this one, which
-    /// starts `now`.
+    /// `first_start`: no process of the system ran before this one. `now`: when
+    /// this process starts.
     loss_tracker(bool first_start, instant now,
                  loss_tracker_options options = {});
 
-    /// A process of one of `hosts` hosts ended without leaving. Precondition:
+    /// A process on one of `hosts` hosts ended without leaving. Precondition:
     /// hosts > 0.
     void note_death(std::size_t hosts, instant now);
 
-    /// A node that started before this one remembers `said`. Precondition:
-    /// said >= 0.
-    void merge_peer(double said, instant now);
+    /// The estimate of a node that started before this one. Precondition:
+    /// reported >= 0.
+    void merge_peer(double reported, instant now);
 
-    /// Whole fleets lost lately, >= 0.
+    /// Recent losses as a number of whole fleets, >= 0.
     double at(instant now) const;
 
-    /// The same for other nodes; unset while it is only presumed.
+    /// The same, to report to other nodes; unset while it is only assumed.
     std::optional<double> known(instant now) const;
 
 private:
     loss_tracker_options options_;
     instant started_;
-    bool assumes_total_loss_;  ///< Until an older node is heard, all died.
-    double counted_ = 0; ///< As of `changed_`.
+    bool assumes_total_loss_; ///< Until an older node is heard.
+    double counted_ = 0;      ///< As of `changed_`.
     instant changed_;
 };
 
--- a/include/fennelladder/prepaid/outage_tracker.hpp
+++ b/include/fennelladder/prepaid/outage_tracker.hpp
@@ -1,12 +1,12 @@
-// How long the platform was lately out of reach of the whole fleet.
+// Tracks how long the platform was recently unreachable for the whole fleet.
 //
 //     outage_tracker outages;
-//     outages.note(reached, now);              // at each look
-//     state.outage = outages.longest(now);     // for prepaid/stock_plan.hpp
+//     outages.note(reached, now);                     // at each check
+//     state.longest_outage = outages.longest(now);    // for stock_plan.hpp
 //
-// What is stocked serves callers through an outage, and is lost with the loss
-// of all nodes. Which of the two comes next can't be known; a platform that was
-// away once is likely to be away again, and for as long.
+// Stock serves callers through an outage of the platform, and is lost if all
+// nodes die. Which of the two comes next is unknown; a platform that was
+// unreachable once is likely to be unreachable again, for about as long.
 //
 // Not thread safe.
 
@@ -22,10 +22,10 @@
 
 struct outage_tracker_options
 {
-    /// An outage counts for so long after its end.
+    /// How long an outage counts after its end.
     duration retention = minutes(10);
-    /// A shorter one says nothing: a call that failed, a store that changed
-    /// its leader.
+    /// Shorter ones are ignored: a failed call, or a store that elected a new
+    /// leader.
     duration min_length = seconds(1);
 };
 
@@ -36,11 +36,11 @@
         : options_(options)
     {}
 
-    /// Whether any node reaches the platform now, as far as is known.
+    /// Records whether any node is known to reach the platform now.
     void note(bool reached, instant now);
 
-    /// The longest outage remembered, one that lasts still among them; 0:
-    /// there was none.
+    /// The longest recent outage, including one still in progress; 0 if there
+    /// was none.
     duration longest(instant now) const;
 
 private:
@@ -51,7 +51,7 @@
     };
 
     outage_tracker_options options_;
-    std::optional<instant> began_; ///< Of the one that lasts.
+    std::optional<instant> began_; ///< Of the outage in progress.
     std::deque<outage> past_;
 };
 
--- a/include/fennelladder/prepaid/stock_plan.hpp
+++ b/include/fennelladder/prepaid/stock_plan.hpp
@@ -1,19 +1,19 @@
-// How many tokens of a team a node should have taken out of the platform's
-// record.
+// Plans how many tokens of a team a node takes out of the platform's record.
 //
-//     const auto holders = holder_candidates_of(nodes, options);
-//     const auto few = holders_of(team, holders, options);
-//     wish = tokens_to_take(state, options);
+//     const auto candidates = holder_candidates_of(nodes, options);
+//     const auto holders = holders_of(team, candidates, options);
+//     amount = tokens_to_take(state, options);
 //
-// A few nodes of the fleet, the team's stockists, hold stock for all nodes; the
-// others ask them (or whoever has some) when a request comes. All stockists are
-// among a handful of nodes, so the tokens that lie about don't grow with the
-// fleet, and the death of one node costs a part of some teams' stock. Which
-// node writes the record for them is for edge/stock_keeper.hpp to say.
+// A few nodes, the team's stock holders, hold stock for all nodes; the others
+// request tokens from them (or from any node that has some) when a caller's
+// request comes. All stock holders are among a few candidates, so that the
+// total stock doesn't grow with the fleet, and the death of one node costs a
+// part of some teams' stock. Which node writes the record on their behalf is
+// decided in edge/stock_keeper.hpp.
 //
-// Stock is what callers are served from while the platform is out of reach,
-// and what is lost when nodes die. Hence the stock of the whole fleet is sized
-// by what the whole fleet spends: a few seconds of it, wherever it lies.
+// Stock serves callers while the platform is unreachable, and is lost when
+// nodes die. Hence the stock of the whole fleet covers a few seconds of the
+// whole fleet's spending, wherever it is held.
 //
 // Pure; thread safe.
 
@@ -31,96 +31,99 @@
 
 struct stock_options
 {
-    /// Nodes that hold stock of one team. Three, so that one of them may die
-    /// and another be cut off.
+    /// Nodes that hold stock of one team: one of them may die and another be
+    /// partitioned.
     std::size_t holders_per_team = 3;
-    /// Nodes that are stockists of any team. Each has to be told what others
-    /// miss; more spread the loss of a death thinner.
+    /// Nodes that may be stock holders of any team. Others must send each of
+    /// them what they lack; with more of them, a death loses less.
     std::size_t holder_candidates = 8;
-    /// Spending that the fleet's stock covers. The platform is away for some
-    /// seconds at a time; what is stocked is lost if all nodes die at once.
+    /// Spending that the fleet's stock covers. The platform is unreachable for
+    /// some seconds at a time; stock is lost if all nodes die at once.
     duration horizon = seconds(14);
-    /// Stock before any spending was seen, as a share of what was prepaid.
+    /// Stock before any spending was seen, as a share of the prepaid tokens.
     double initial_share = 0.10;
-    /// The stock is at most this share of what is still unspent, so that a
-    /// loss of all nodes at once leaves the rest for those that come after.
+    /// Upper limit of the stock, as a share of the unspent tokens, so that a
+    /// loss of all nodes at once leaves the rest for their successors.
     double max_share_of_unspent = 0.4;
-    /// A team whose unspent tokens last for less than this at its present
-    /// spending may stock less than that share, in proportion: what is lost of
-    /// its stock it misses soon. One far from its end doesn't. 0: any team may
-    /// stock the same share; with a fifth for all, teams that run out lost 4 to
-    /// 10 in 100 of what they prepaid with a loss of all nodes.
+    /// For a team whose unspent tokens last for less than this at its current
+    /// rate of spending, the share above shrinks in proportion: it would soon
+    /// lack the tokens lost with its stock, while a team with more left
+    /// wouldn't. 0: the same share for all teams; with a fifth for all, teams
+    /// close to their end lost 4 to 10 % of their prepaid tokens when all nodes
+    /// died.
     duration long_runway = seconds(60);
-    /// Where the platform was away before, the stock covers this many times the
-    /// longest outage remembered, also of a team close to its end: its callers
-    /// are refused throughout the next one otherwise. 0: outages don't count.
+    /// After outages of the platform, the stock covers this many times the
+    /// longest recent one, also for a team close to its end: otherwise its
+    /// callers would be refused throughout the next outage. 0: outages are
+    /// ignored.
     double outage_cover = 1.2;
-    /// For that no more than this share of the unspent is stocked.
+    /// Upper limit of the stock for outages, as a share of the unspent tokens.
     double max_share_for_outage = 0.55;
-    /// How much less is stocked after losses: the stock is divided by one more
-    /// than this many times the whole fleets that died lately. 0: losses don't
-    /// count.
+    /// Reduces the stock after losses: it is divided by
+    /// 1 + loss_factor * stock_state::losses. 0: losses are ignored.
     double loss_factor = 3;
-    /// Whether stock lies at large hosts alone, if there are enough of them.
-    /// Most callers are there, so that most tokens needn't travel; and they
+    /// Whether only large hosts hold stock, if there are enough of them. Most
+    /// callers are there, so fewer tokens have to be moved, and large hosts
     /// answer sooner.
     bool large_hosts_only = true;
-    /// A node that is short asks others for this much of its own spending
-    /// beyond what is missing. 0: for each request alone.
+    /// A node short of tokens requests this much of its own spending in
+    /// addition to what is missing. 0: only what each request needs.
     duration request_ahead = milliseconds(1500);
-    /// Of what the record has left, at most. Nodes that spend a team's tokens
-    /// are a dozen or less; together they hold no more than a quarter.
+    /// Upper limit of that, as a share of the record's unallotted tokens. At
+    /// most a dozen nodes spend a team's tokens, so together they hold no more
+    /// than a quarter.
     double max_request_ahead_share = 0.02;
-    /// Between two writes that no request waits for, and between two questions
-    /// of a stockist to the writer.
+    /// Between two writes that no request waits for, and between two requests
+    /// of a stock holder to the writer.
     duration write_interval = seconds(1);
-    /// The same if requests wait for tokens, which they do for as long at
-    /// least: what others come to want meanwhile goes into one write.
+    /// The same if requests wait for tokens. Demand that arises meanwhile goes
+    /// into the same write, so a request waits at least this long.
     duration urgent_write_interval = milliseconds(30);
-    /// After a write that another one came before: up to so long, doubled with
-    /// each in a row. Nodes that both take themselves for the writer would meet
-    /// again if they tried at once.
+    /// Longest backoff after a write that lost to a concurrent one, doubled
+    /// with each conflict in a row. Two nodes that both act as the writer would
+    /// conflict again if they retried at once.
     duration conflict_backoff = milliseconds(10);
-    /// The stock is filled up when it is below this share of its goal.
+    /// The stock is refilled when it is below this share of its target amount.
     double refill_below = 0.8;
 };
 
-/// What is known of a team when a node considers taking out tokens.
+/// What a node knows of a team when it plans the team's stock.
 struct stock_state
 {
     tokens prepaid;    ///< Total of the day.
-    tokens left;       ///< Not handed out yet.
-    tokens fleet_free; ///< Held by all living nodes together.
-    /// Of that, held by the team's stockists. What lies at other nodes is the
-    /// rest of requests that cost less than their most: too little for the
-    /// next one, at many nodes, and hence no stock.
+    tokens left;       ///< Not allotted yet.
+    tokens fleet_free; ///< Free at all live nodes together.
+    /// Of that, held by the team's stock holders. Other nodes hold what is left
+    /// over from requests that cost less than their maximum: spread over many
+    /// nodes, too little for the next request, and therefore not stock.
     tokens stocked;
     double fleet_spending = 0; ///< Tokens a second, all nodes together.
     duration longest_outage{
         0};            ///< The longest lately, see prepaid/outage_tracker.hpp.
     double losses = 0; ///< Whole fleets lately, see prepaid/loss_tracker.hpp.
-    tokens
-        unmet_demand; ///< Missing for requests that wait, or for other nodes.
-    std::size_t live_holders = 1; ///< That are alive.
-    bool is_holder = false;       ///< Whether this node is one.
+    /// Missing for requests that wait at this node or at others.
+    tokens unmet_demand;
+    std::size_t live_holders = 1; ///< The team's stock holders alive.
+    bool is_holder = false;       ///< Whether this node is one of them.
 };
 
-/// Tokens to take out now; 0: none.
+/// Tokens to take out of the record now; 0: none.
 tokens tokens_to_take(const stock_state& state, const stock_options& options);
 
-/// What a node that is short asks for beyond what is missing, by what it spends
-/// a second itself: the next requests needn't wait for other nodes then. No
-/// more than a small part of what the record has `left`: near a team's end all
-/// would be spread over nodes, each with too little for its next request.
+/// Tokens that a node which is short requests in addition to what is missing,
+/// by its own spending a second, so that the next requests needn't wait for
+/// other nodes. At most a small share of the record's unallotted tokens `left`:
+/// close to a team's end all tokens would otherwise be spread over nodes, each
+/// with too few for its next request.
 tokens extra_to_request(double own_spending, tokens left,
                         const stock_options& options);
 
-/// Those of `nodes` that may be stockists: a few of highest rank by rendezvous
-/// hashing, so nodes that know the same fleet agree.
+/// The `nodes` that may be stock holders: those with the highest ranks by
+/// rendezvous hashing, so that nodes with the same membership view agree.
 std::vector<host_id> holder_candidates_of(const std::vector<host_id>& nodes,
                                           const stock_options& options);
 
-/// The team's stockists among the holders, ranked in the same way.
+/// The team's stock holders among the candidates, ranked in the same way.
 std::vector<host_id> holders_of(const team_id& team,
                                 const std::vector<host_id>& holder_candidates,
                                 const stock_options& options);
--- a/include/fennelladder/prepaid/token_balances.hpp
+++ b/include/fennelladder/prepaid/token_balances.hpp
@@ -1,14 +1,15 @@
-// The prepaid tokens that one node holds, by team. They were taken out of the
-// platform's record before (see allotment_record.hpp), so spending them needs
-// nobody's consent, and what all nodes spend never exceeds what was prepaid.
+// The prepaid tokens that one node holds, by team. They were allotted in the
+// platform's record (see allotment_record.hpp), so the node may spend them
+// without asking, and all nodes together never spend more than was prepaid.
 //
-//     if (!purse.reserve(team, worst))
-//         ... ask a peer, or refuse ...
-//     purse.settle(team, worst, used);
+//     if (!balances.reserve(team, worst, now))
+//         ... request tokens from a peer, or refuse ...
+//     balances.settle(team, worst, used, now);
 //
 // Invariant: free + reserved + spent of a team equals what was credited minus
 // what was debited; none of them is negative. What a node holds when it dies
-// is lost to the team: a holder that looks dead may still spend.
+// is lost to the team and not allotted again, since a holder that looks dead
+// may still spend it.
 //
 // Not thread safe.
 
@@ -24,14 +25,13 @@
 
 namespace fennelladder::prepaid {
 
-/// What a node holds of one team.
+/// What this node holds of one team.
 struct holding
 {
     tokens free;
     tokens reserved;
     tokens spent;
-    /// Short enough to follow a team that begins to send several times as
-    /// much.
+    /// Adapts quickly enough to a team whose traffic grows several times.
     decaying_rate spending{seconds(4)};
 };
 
@@ -40,27 +40,27 @@
 public:
     using holding_map = std::map<team_id, holding>;
 
-    /// Sets aside the most that a request can cost. False, and nothing set
-    /// aside, if there is less. Precondition: amount >= 0.
+    /// Reserves the most that a request can cost. Returns false and reserves
+    /// nothing if less is free. Precondition: amount >= 0.
     bool reserve(const team_id& team, tokens amount, instant now);
 
-    /// The request is over and cost `used`. Precondition: `reserved` was set
-    /// aside; 0 <= used <= reserved.
+    /// The request has ended and cost `used`. Precondition: `reserved` was
+    /// reserved for it; 0 <= used <= reserved.
     void settle(const team_id& team, tokens reserved, tokens used, instant now);
 
-    /// Tokens came from the platform's record or from a peer.
+    /// Adds tokens from the platform's record or from a peer.
     void credit(const team_id& team, tokens amount);
 
-    /// Takes out up to `wanted` to give to a peer.
+    /// Removes up to `wanted` free tokens for a peer. Returns the amount.
     tokens debit(const team_id& team, tokens wanted);
 
-    /// Takes out all that is free.
+    /// Removes all free tokens. Returns the amount.
     tokens debit_all(const team_id& team);
 
     tokens free_of(const team_id& team) const;
 
-    /// Tokens a second spent here lately. What is set aside counts as spent
-    /// until it is settled, so that a rise shows at once.
+    /// Tokens a second spent here recently. Reserved tokens count as spent
+    /// until they are settled, so that a rise shows at once.
     double spending(const team_id& team, instant now) const;
 
     const holding_map& holdings() const { return holdings_; }
--- a/include/fennelladder/prepaid/urgency_reserve.hpp
+++ b/include/fennelladder/prepaid/urgency_reserve.hpp
@@ -1,17 +1,19 @@
-// Whom the last tokens of a team serve while no more come.
+// Keeps back the last tokens of a team for its more urgent requests while no
+// more tokens arrive.
 //
-//     ration shares(options);
-//     shares.note(team, urgency, wanted, now);      // whatever becomes of it
-//     if (free - wanted < shares.kept_back(team, urgency, now))
-//         ... not for this one ...
+//     urgency_reserve reserve(options);
+//     reserve.note(team, urgency, wanted, now);     // each request, served or
+//     not if (free - wanted < reserve.kept_back(team, urgency, now))
+//         ... refuse this request ...
 //
-// While the platform is away a stock lasts for some seconds. Served as they
-// come, requests of all kinds are refused alike once it is used up, the most
-// urgent among them, though these need a small part of it: kinds differ by ten
-// in their prompts. So what more urgent requests will want is kept back from
-// the others.
+// While the platform is unreachable, a stock lasts for some seconds. If
+// requests were served in order of arrival, all kinds would be refused alike
+// once the stock is used up, including the most urgent ones, although these
+// need only a small part of it: prompt sizes differ by a factor of ten between
+// kinds. So the tokens that more urgent requests are expected to want are kept
+// back from the others.
 //
-// Pure but for its counts; not thread safe.
+// Keeps demand rates and no other state; not thread safe.
 
 #ifndef FENNELLADDER_PREPAID_URGENCY_RESERVE_HPP
 #define FENNELLADDER_PREPAID_URGENCY_RESERVE_HPP
@@ -27,14 +29,15 @@
 
 struct urgency_reserve_options
 {
-    /// What more urgent requests want in so long is kept back. An outage of the
-    /// platform takes seven to nine seconds. 0: nothing is.
+    /// Keeps back what more urgent requests want in this time, about the seven
+    /// to nine seconds that an outage of the platform takes. 0: keeps nothing
+    /// back.
     duration span = seconds(8);
-    /// No more than this share of the team's demand is kept back: urgent kinds
-    /// that need most of the tokens would leave the others nothing at all.
+    /// At most this share of the team's demand is kept back: urgent kinds that
+    /// need most of the tokens would leave nothing to the others.
     double max_share = 0.25;
-    /// Of the demand that is remembered: it has to be known when the outage
-    /// begins, and is small next to a team's ups and downs.
+    /// Time constant of the demand rates. The demand has to be known when the
+    /// outage begins, and this is short compared to a team's ups and downs.
     duration demand_memory = seconds(8);
 };
 
@@ -45,11 +48,11 @@
         : options_(options)
     {}
 
-    /// A request of this urgency (0: the most urgent) wants tokens, whether it
-    /// gets them or not.
+    /// Counts a request of this urgency (0: the most urgent) that wants tokens,
+    /// whether it gets them or not.
     void note(const team_id& team, int urgency, tokens wanted, instant now);
 
-    /// What a request of this urgency has to leave to more urgent ones.
+    /// Tokens that a request of this urgency must leave to more urgent ones.
     tokens kept_back(const team_id& team, int urgency, instant now) const;
 
 private:
--- a/libs/prepaid/allotment_record.cpp
+++ b/libs/prepaid/allotment_record.cpp
@@ -11,7 +11,7 @@
 constexpr const char* teams_field = "teams";
 constexpr const char* writers_field = "writers";
 
-/// The member, if it is an object.
+/// The field, or null unless it is an object.
 const nlohmann::json* object_of(const nlohmann::json& from, const char* field)
 {
     if (!from.is_object())
@@ -48,12 +48,12 @@
 
 allotment_draft draft_allotment(const allotment_record& record,
                                 const token_amounts& prepaid,
-                                const token_amounts& wishes,
-                                const host_id& writer, const write_id& mark)
+                                const token_amounts& requested,
+                                const host_id& writer, const write_id& id)
 {
     allotment_draft out;
     out.record = record;
-    for (const auto& [team, wanted] : wishes) {
+    for (const auto& [team, wanted] : requested) {
         const tokens given =
             std::min(wanted, unallotted(record, prepaid, team));
         if (given <= tokens(0))
@@ -61,15 +61,15 @@
         out.record.allotted[team] += given;
         out.granted[team] = given;
     }
-    out.record.last_write[writer] = mark;
+    out.record.last_write[writer] = id;
     return out;
 }
 
 bool contains_write(const allotment_record& record, const host_id& writer,
-                    const write_id& mark)
+                    const write_id& id)
 {
     const auto it = record.last_write.find(writer);
-    return it != record.last_write.end() && it->second == mark;
+    return it != record.last_write.end() && it->second == id;
 }
 
 bool may_follow(const allotment_record& earlier, const allotment_record& later)
--- a/libs/prepaid/loss_tracker.cpp
+++ b/libs/prepaid/loss_tracker.cpp
@@ -24,7 +24,8 @@
 
 double loss_tracker::at(instant now) const
 {
-    const double counted = decayed(counted_, now - changed_, options_.half_life);
+    const double counted =
+        decayed(counted_, now - changed_, options_.half_life);
     if (!assumes_total_loss_)
         return counted;
     return std::max(counted, decayed(1, now - started_, options_.half_life));
@@ -45,10 +46,10 @@
     changed_ = now;
 }
 
-void loss_tracker::merge_peer(double said, instant now)
+void loss_tracker::merge_peer(double reported, instant now)
 {
     assumes_total_loss_ = false;
-    counted_ = std::max(at(now), said);
+    counted_ = std::max(at(now), reported);
     changed_ = now;
 }
 
--- a/libs/prepaid/stock_plan.cpp
+++ b/libs/prepaid/stock_plan.cpp
@@ -8,9 +8,9 @@
 
 namespace {
 
-/// The share of the unspent that may be stocked. What is stocked is lost when
-/// all nodes die at once; a team that is far from its end doesn't miss it, one
-/// that is close pays each lost token with a refusal.
+/// The share of the unspent tokens that may be stocked. Stock is lost when all
+/// nodes die at once; a team far from its end can afford that, while one close
+/// to its end pays for each lost token with a refused request.
 double share_to_stock(const stock_state& state, double unspent,
                       const stock_options& options)
 {
@@ -20,7 +20,7 @@
            (runway < wanted ? runway / wanted : 1);
 }
 
-/// This node's part of what the fleet's stock lacks.
+/// This node's part of the tokens missing in the fleet's stock.
 double part_of_gap(const stock_state& state, const stock_options& options)
 {
     if (!state.is_holder)
@@ -69,7 +69,7 @@
 
 namespace {
 
-/// The `count` nodes of highest rank for `salt`.
+/// The `count` nodes with the highest ranks for `salt`.
 std::vector<host_id> first_by_rank(std::vector<host_id> nodes,
                                    std::string_view salt, std::size_t count)
 {
--- a/libs/prepaid/urgency_reserve.cpp
+++ b/libs/prepaid/urgency_reserve.cpp
@@ -20,15 +20,15 @@
     double all = 0;
     for (const auto& [other, rate] : of_team->second)
         all += rate.at(now);
-    double a_second = 0;
+    double reserved_rate = 0;
     for (const auto& [other, rate] : of_team->second) {
-        const double with_it = a_second + rate.at(now);
-        if (other >= urgency || with_it > all * options_.max_share)
+        const double with_next = reserved_rate + rate.at(now);
+        if (other >= urgency || with_next > all * options_.max_share)
             break;
-        a_second = with_it;
+        reserved_rate = with_next;
     }
     return tokens(
-        static_cast<std::int64_t>(a_second * to_seconds(options_.span)));
+        static_cast<std::int64_t>(reserved_rate * to_seconds(options_.span)));
 }
 
 } // namespace fennelladder::prepaid
