--- a/include/fennelladder/catalog/configuration.hpp
+++ b/include/fennelladder/catalog/configuration.hpp
@@ -50,15 +50,15 @@
     std::string host_name; ///< As callers write it, in lower case.
     std::string path_prefix;
     repeat_rule repeats = repeat_rule::at_most_once;
-    bool streams = false;        ///< The answer is a series of events.
-    bool resumable = false;      ///< A broken stream may go on elsewhere.
-    bool is_public = false;      ///< Needs no key.
-    bool has_prompt = false;     ///< Carries a prompt and is paid in tokens.
-    duration timeout{0};         ///< Longest time until the last byte.
-    duration objective{0};       ///< Time to the (first) answer.
-    duration pause_objective{0}; ///< Between two events of a stream.
-    int urgency = 0;             ///< 0 is the most urgent.
-    int max_targets = 1;         ///< Targets that may run one request.
+    bool streams = false;    ///< The answer is a series of events.
+    bool resumable = false;  ///< A broken stream may go on elsewhere.
+    bool is_public = false;  ///< Needs no key.
+    bool has_prompt = false; ///< Carries a prompt and is paid in tokens.
+    duration timeout{0};     ///< Longest time until the last byte.
+    duration objective{0};   ///< Time to the (first) answer.
+    duration event_gap_objective{0}; ///< Between two events of a stream.
+    int urgency = 0;                 ///< 0 is the most urgent.
+    int max_targets = 1;             ///< Targets that may run one request.
     /// Where its requests may be run; empty: anywhere.
     std::vector<region_id> regions;
     std::vector<weighted_service> services;
@@ -151,7 +151,7 @@
 };
 
 /// The host name without its port, in lower case. Thread safe.
-std::string normal_host_name(std::string_view host_name);
+std::string normalize_host_name(std::string_view host_name);
 
 } // namespace fennelladder::catalog
 
--- a/include/fennelladder/catalog/evacuation_list.hpp
+++ b/include/fennelladder/catalog/evacuation_list.hpp
@@ -26,7 +26,7 @@
 
 /// Data centres evacuated at once at most. More are no deployment's, and would
 /// not fit what nodes tell each other.
-inline constexpr std::size_t most_evacuations = 256;
+inline constexpr std::size_t max_evacuations = 256;
 
 /// All that is evacuated as of a revision.
 struct evacuation_state
--- a/include/fennelladder/catalog/target_entry.hpp
+++ b/include/fennelladder/catalog/target_entry.hpp
@@ -38,7 +38,7 @@
 /// own clock; 0: not said. Only starts of one id are compared.
 using target_start = number_id<struct target_start_tag>;
 
-constexpr bool is_said(target_start start)
+constexpr bool is_known(target_start start)
 {
     return start != target_start();
 }
@@ -64,7 +64,7 @@
     data_center_id data_center;
     std::uint32_t slots = 1;
     bool leaving = false;
-    duration warm_up_left{0}; ///< How much longer it stays slow.
+    duration remaining_warm_up{0}; ///< How much longer it stays slow.
 
     target_process process() const { return {id, start}; }
 
@@ -73,9 +73,9 @@
 
 /// Limits of what an entry may say. Whatever is beyond them was written by
 /// something else than a target.
-inline constexpr std::size_t longest_target_text = 256; ///< Bytes of an id.
-inline constexpr std::uint32_t most_target_slots = 65'536;
-inline constexpr duration longest_warm_up = hours(24);
+inline constexpr std::size_t max_target_id_bytes = 256; ///< Bytes of an id.
+inline constexpr std::uint32_t max_target_slots = 65'536;
+inline constexpr duration max_warm_up = hours(24);
 
 /// Fails with `corrupt` and the field when an entry can't be used: no id, no
 /// service, an address that isn't IP:port, or a number out of its limits.
@@ -93,7 +93,7 @@
 
 /// The latest changes of a list, complete after `since`: whoever has all up
 /// to there, or more, has all up to `as_of` with them.
-struct target_news
+struct target_update
 {
     revision since;
     revision as_of;
@@ -117,10 +117,10 @@
 
     /// Takes news if they follow on what is known; of others only later
     /// starts. True if something was taken.
-    bool take_news(const target_news& news);
+    bool apply_update(const target_update& news);
 
     /// The latest `most` changes. Precondition: known().
-    target_news latest_news(std::size_t most) const;
+    target_update latest_update(std::size_t most) const;
 
     /// The changes after `since`, or nothing when that is too long ago and
     /// only a full listing helps.
@@ -134,7 +134,7 @@
     revision latest_change() const { return latest_change_; }
 
     /// Grows with each change taken, whatever its revision.
-    std::uint64_t changes_taken() const { return changes_taken_; }
+    std::uint64_t change_count() const { return changes_taken_; }
 
     /// Whether a first listing was taken.
     bool known() const { return known_; }
--- a/include/fennelladder/catalog/target_signals.hpp
+++ b/include/fennelladder/catalog/target_signals.hpp
@@ -15,11 +15,11 @@
 {
     bool leaving = false;
     /// It turned this request away and wants nothing more from this node for
-    /// so long; above 0, at most longest_rest_asked.
+    /// so long; above 0, at most max_requested_rest.
     std::optional<duration> rest;
-    std::optional<duration> cold_left; ///< How long it stays cold.
+    std::optional<duration> remaining_cold; ///< How long it stays cold.
     /// Requests a second that it takes from all nodes together; from 0 to
-    /// most_rate_limit.
+    /// max_rate_limit.
     std::optional<double> rate_limit;
     /// Whether the answer is certain to be the target's latest: a limit that
     /// it doesn't name has ended.
@@ -27,10 +27,10 @@
 };
 
 /// A limit above it is none that a node could reach.
-inline constexpr double most_rate_limit = 1e6;
+inline constexpr double max_rate_limit = 1e6;
 
 /// A longer rest would outlast what made the target ask for it.
-inline constexpr duration longest_rest_asked = minutes(10);
+inline constexpr duration max_requested_rest = minutes(10);
 
 } // namespace fennelladder::catalog
 
--- a/include/fennelladder/edge/decision_options.hpp
+++ b/include/fennelladder/edge/decision_options.hpp
@@ -54,7 +54,7 @@
     target_pool_options pool;
     /// Asks other nodes for tokens before a request is refused.
     bool lends_tokens = true;
-    /// Refuses callers while news are late, see mesh/news_lateness.hpp.
+    /// Refuses callers while news are late, see mesh/update_lateness.hpp.
     bool minds_lateness = true;
 };
 
--- a/include/fennelladder/edge/mesh_node.hpp
+++ b/include/fennelladder/edge/mesh_node.hpp
@@ -62,23 +62,23 @@
     awaitable<void> receive();
     awaitable<void> tick();
     void take(const mesh::datagram& message, const std::string& from);
-    void take_beacon(const mesh::beacon& from);
-    void take_signals(const mesh::beacon& from, instant sent);
+    void take_beacon(const mesh::node_heartbeat& from);
+    void take_signals(const mesh::node_heartbeat& from, instant sent);
     void note_death(const host_id& host, instant now);
-    void hear_losses(const mesh::beacon& from, instant now);
-    void take_holdings(const mesh::beacon& from);
+    void hear_losses(const mesh::node_heartbeat& from, instant now);
+    void take_holdings(const mesh::node_heartbeat& from);
     duration way_allowance(instant now) const;
     void note_tick(instant now);
     void note_lateness();
     void note_unreadable(const std::string& sender, const error& cause);
-    void take_freshness(const mesh::beacon& from, std::optional<duration> delay,
-                        instant now);
-    mesh::beacon own_beacon();
+    void take_freshness(const mesh::node_heartbeat& from,
+                        std::optional<duration> delay, instant now);
+    mesh::node_heartbeat own_beacon();
     void send_to_all(const std::vector<std::string>& addresses,
                      const mesh::datagram& message, traffic kind);
     void send_beacon(const std::vector<std::string>& addresses);
     void send_news(const std::vector<std::string>& addresses);
-    bool missed_news(const mesh::node_row& peer) const;
+    bool missed_news(const mesh::peer_record& peer) const;
     void send_due_beacons();
     void greet(const std::string& address);
     void spread();
--- a/include/fennelladder/edge/news_exchange.hpp
+++ b/include/fennelladder/edge/news_exchange.hpp
@@ -45,7 +45,7 @@
 
     /// Fetches what the sender of the beacon knows beyond this node. The
     /// roster has to have heard it before.
-    void hear(const mesh::beacon& from);
+    void hear(const mesh::node_heartbeat& from);
 
 private:
     /// The fetching of one part.
@@ -53,12 +53,12 @@
     {
         fetching(telemetry::metrics& metrics, mesh::sync_part wanted);
 
-        telemetry::counter& count_of(mesh::fetch_end end) const;
+        telemetry::counter& count_of(mesh::fetch_result end) const;
 
         const mesh::sync_part part;
         const std::string name; ///< In log lines and metrics.
         bool under_way = false;
-        mesh::source_rests rests;
+        mesh::source_backoff rests;
         telemetry::counter& done;
         telemetry::counter& not_newer;
         telemetry::counter& busy;
@@ -72,38 +72,41 @@
         std::shared_ptr<const std::string> bytes; ///< Null: none yet.
     };
 
-    bool is_ahead(const mesh::beacon& from, mesh::sync_part part) const;
+    bool is_ahead(const mesh::node_heartbeat& from, mesh::sync_part part) const;
 
     void begin(fetching& what);
     awaitable<void> fetch_all(fetching& what);
-    awaitable<mesh::fetch_end> fetch_from(fetching& what, std::string address);
+    awaitable<mesh::fetch_result> fetch_from(fetching& what,
+                                             std::string address);
     awaitable<bool> exchange(peer_stream& stream, const fetching& what,
                              const std::string& address, std::string& answer);
     duration head_start(const fetching& what);
-    std::vector<mesh::news_source> sources_of(mesh::sync_part part);
-    void add_named(std::vector<mesh::news_source>& to);
+    std::vector<mesh::update_source> sources_of(mesh::sync_part part);
+    void add_named(std::vector<mesh::update_source>& to);
     void note_end(fetching& what, const std::string& address,
-                  mesh::fetch_end end);
-    mesh::fetch_end take_answer(const fetching& what, const std::string& bytes,
-                                const std::string& source);
-    mesh::fetch_end take_targets(const mesh::sync_reply& reply);
-    mesh::fetch_end take_configuration(mesh::sync_reply reply,
-                                       const std::string& source);
+                  mesh::fetch_result end);
+    mesh::fetch_result take_answer(const fetching& what,
+                                   const std::string& bytes,
+                                   const std::string& source);
+    mesh::fetch_result take_targets(const mesh::sync_reply& reply);
+    mesh::fetch_result take_configuration(mesh::sync_reply reply,
+                                          const std::string& source);
     void take_named(const mesh::sync_reply& reply);
     void note_unreadable(const std::string& source, const error& cause);
 
     awaitable<void> accept();
     awaitable<void> serve(std::shared_ptr<tcp::socket> socket);
-    awaitable<void> answer(peer_stream& stream, const mesh::sync_ask& ask);
+    awaitable<void> answer(peer_stream& stream, const mesh::sync_request& ask);
     awaitable<bool> send_configuration(peer_stream& stream,
                                        std::shared_ptr<const std::string> bytes,
-                                       const mesh::sync_ask& ask,
+                                       const mesh::sync_request& ask,
                                        mesh::transfer_id slot);
     awaitable<bool> send_paced(peer_stream& stream, std::string_view bytes,
                                mesh::transfer_id slot);
-    mesh::sync_reply targets_for(const mesh::sync_ask& ask) const;
+    mesh::sync_reply targets_for(const mesh::sync_request& ask) const;
     mesh::sync_reply busy_reply() const;
-    std::shared_ptr<const std::string> wire_form_for(const mesh::sync_ask& ask);
+    std::shared_ptr<const std::string>
+    wire_form_for(const mesh::sync_request& ask);
     void keep_wire_form(std::string packed);
 
     node_tables& tables_;
--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -20,8 +20,8 @@
 #include "fennelladder/edge/target_connection.hpp"
 #include "fennelladder/edge/unreadable_objects.hpp"
 #include "fennelladder/mesh/freshness.hpp"
-#include "fennelladder/mesh/news_lateness.hpp"
-#include "fennelladder/mesh/roster.hpp"
+#include "fennelladder/mesh/peer_view.hpp"
+#include "fennelladder/mesh/update_lateness.hpp"
 #include "fennelladder/prepaid/loss_memory.hpp"
 #include "fennelladder/prepaid/purse.hpp"
 #include "fennelladder/telemetry/metrics.hpp"
@@ -79,7 +79,7 @@
     bool targets_unconfirmed() const;
 
     /// Whether changes reach this node too late for it to give out work; see
-    /// mesh/news_lateness.hpp.
+    /// mesh/update_lateness.hpp.
     bool news_are_late() const;
 
     /// How much longer than usual what comes to this host waits at present.
@@ -126,7 +126,7 @@
     random_source random;
     adapter::host_settings settings;
     const decision_options options;
-    mesh::node_life life; ///< Of this process.
+    mesh::node_incarnation life; ///< Of this process.
 
     /// Null until one is known.
     std::shared_ptr<const catalog::configuration> config;
@@ -141,7 +141,7 @@
     mesh::freshness evacuations_freshness;
     /// The latest change of targets that a peer spoke of.
     catalog::revision targets_announced;
-    mesh::news_lateness lateness;
+    mesh::update_lateness lateness;
     instant targets_changed; ///< When the list last changed here.
     /// When a time ended in which nobody could say what the newest list was.
     std::optional<instant> targets_gap_ended;
@@ -150,7 +150,7 @@
     dispatch::poison_list poison;
     prepaid::purse purse;
     prepaid::loss_memory losses;
-    mesh::roster nodes;
+    mesh::peer_view nodes;
     target_pool pool;
     telemetry::metrics metrics;
     unreadable_objects unreadable{metrics};
--- a/include/fennelladder/edge/peer_stream.hpp
+++ b/include/fennelladder/edge/peer_stream.hpp
@@ -7,7 +7,7 @@
 //     const bool read = co_await stream.read(answer, largest);
 //
 // A connection lives as long as bytes come or go, and at most
-// `longest_transfer`. Failure it guards against: a limit on the whole of an
+// `transfer_timeout`. Failure it guards against: a limit on the whole of an
 // exchange ends each transfer that is slow but under way, and what it had
 // carried is sent again. One that has fallen silent ends soon, and one that a
 // peer feeds a byte now and then ends as well.
--- a/include/fennelladder/edge/platform_feed.hpp
+++ b/include/fennelladder/edge/platform_feed.hpp
@@ -9,7 +9,7 @@
 // the first in an order all nodes agree on, those that reach the platform
 // before those that don't. So the calls don't grow with the fleet. A node
 // whose knowledge nobody has confirmed for too long asks by itself, whoever
-// ought to watch (see mesh/watch_duty.hpp, which decides).
+// ought to watch (see mesh/watch_policy.hpp, which decides).
 //
 // A watch may fall silent without an error. Each is therefore short, and a
 // full listing is made now and then. A watch that fails, because its history
@@ -34,7 +34,7 @@
 #include "fennelladder/edge/mesh_node.hpp"
 #include "fennelladder/edge/node_tables.hpp"
 #include "fennelladder/edge/platform_client.hpp"
-#include "fennelladder/mesh/watch_duty.hpp"
+#include "fennelladder/mesh/watch_policy.hpp"
 #include "platform/object_codec.hpp"
 
 #include <optional>
@@ -55,11 +55,11 @@
     struct news_kind
     {
         news_kind(const char* name, node_tables& tables,
-                  mesh::news_limits limits);
+                  mesh::staleness_limits limits);
 
         const char* what; ///< Salt of the rank, and name in the log.
         duration stale_after;
-        mesh::watch_duty duty;
+        mesh::watch_policy duty;
         mesh::watch_reason reason = mesh::watch_reason::none;
         bool stale = false;  ///< As logged.
         bool listed = false; ///< So that it can be watched from there.
@@ -90,7 +90,7 @@
     };
 
     using call_function = awaitable<bool> (platform_feed::*)();
-    using view_function = mesh::news_view (platform_feed::*)();
+    using view_function = mesh::watch_inputs (platform_feed::*)();
 
     std::size_t rank(const news_kind& kind, bool reached) const;
     awaitable<void> follow(news_kind& kind, view_function look,
@@ -106,12 +106,12 @@
     void settle(news_kind& kind, duration elapsed);
     void on_answer();
     void note_reason(news_kind& kind, mesh::watch_reason reason,
-                     const mesh::news_view& view);
+                     const mesh::watch_inputs& view);
 
-    mesh::news_view view_of(const news_kind& kind) const;
-    mesh::news_view view_configuration();
-    mesh::news_view view_targets();
-    mesh::news_view view_evacuations();
+    mesh::watch_inputs view_of(const news_kind& kind) const;
+    mesh::watch_inputs view_configuration();
+    mesh::watch_inputs view_targets();
+    mesh::watch_inputs view_evacuations();
     void confirm_configuration(instant at);
     void confirm_targets(instant at);
     void confirm_evacuations(instant at);
@@ -158,7 +158,7 @@
     node_tables& tables_;
     platform_client& client_;
     mesh_node& mesh_;
-    mesh::news_limits limits_;
+    mesh::staleness_limits limits_;
     news_kind configuration_;
     news_kind targets_;
     news_kind evacuations_;
--- a/include/fennelladder/edge/stock_keeper.hpp
+++ b/include/fennelladder/edge/stock_keeper.hpp
@@ -25,7 +25,7 @@
 
 #include "fennelladder/edge/allotment_writer.hpp"
 #include "fennelladder/edge/node_tables.hpp"
-#include "fennelladder/mesh/stock_book.hpp"
+#include "fennelladder/mesh/stock_table.hpp"
 #include "fennelladder/prepaid/outage_memory.hpp"
 #include "fennelladder/prepaid/stock_plan.hpp"
 
@@ -53,14 +53,14 @@
     };
 
     stock_keeper(node_tables& tables, platform_client& client,
-                 const mesh::stock_book& peers, hooks hooks);
+                 const mesh::stock_table& peers, hooks hooks);
 
     /// Begins to look after the stock.
     void start();
 
     /// The node that takes tokens out for this one; nullptr if this one does
     /// it itself.
-    const mesh::node_row* writer_elsewhere() const;
+    const mesh::peer_record* writer_elsewhere() const;
 
     /// Asks for `missing` tokens out of the record. Unless `patient`, a request
     /// waits for them. The number of the round that takes them out.
@@ -126,7 +126,7 @@
     void note_reach();
 
     node_tables& tables_;
-    const mesh::stock_book& peers_;
+    const mesh::stock_table& peers_;
     hooks hooks_;
     allotment_writer writer_;
     asio::steady_timer wake_;
--- a/include/fennelladder/edge/token_desk.hpp
+++ b/include/fennelladder/edge/token_desk.hpp
@@ -21,7 +21,7 @@
 
 #include "fennelladder/edge/node_tables.hpp"
 #include "fennelladder/edge/stock_keeper.hpp"
-#include "fennelladder/mesh/stock_book.hpp"
+#include "fennelladder/mesh/stock_table.hpp"
 #include "fennelladder/prepaid/ration.hpp"
 
 #include <functional>
@@ -67,13 +67,13 @@
     void settle(const team_id& team, tokens reserved, tokens used);
 
     /// Messages of other nodes.
-    void on_ask(const mesh::token_ask& ask, const std::string& from);
-    void on_give(const mesh::token_give& give);
-    void on_gift(const mesh::token_gift& gift, const std::string& from);
-    void on_gift_taken(const mesh::token_gift_taken& taken);
+    void on_ask(const mesh::token_request& ask, const std::string& from);
+    void on_give(const mesh::token_grant& give);
+    void on_gift(const mesh::token_push& gift, const std::string& from);
+    void on_gift_taken(const mesh::token_push_ack& taken);
 
     /// What another node says it holds.
-    void on_stock(const mesh::beacon& from);
+    void on_stock(const mesh::node_heartbeat& from);
 
     /// The host's process ended without handing its tokens on.
     void on_death(const host_id& host);
@@ -97,7 +97,7 @@
     /// A question that is answered when tokens have been taken out for it.
     struct pending_ask
     {
-        mesh::token_ask ask;
+        mesh::token_request ask;
         std::string from;
         instant at;
     };
@@ -113,10 +113,11 @@
     class waiting_request;
 
     using waiting_counts = std::map<team_id, int>;
-    using transfer_key = std::pair<mesh::node_life, mesh::transfer_number>;
+    using transfer_key =
+        std::pair<mesh::node_incarnation, mesh::transfer_number>;
 
     awaitable<void> wait_for_change(instant until);
-    awaitable<void> repeat_gift(mesh::token_gift gift, std::string to,
+    awaitable<void> repeat_gift(mesh::token_push gift, std::string to,
                                 instant until);
     record_question ask_for_more(const team_id& team, tokens missing,
                                  int urgency);
@@ -124,11 +125,11 @@
     bool is_hopeless(const team_id& team, tokens missing) const;
     tokens missing_of(const team_id& team, tokens amount, int urgency) const;
     tokens wanted_beyond(const team_id& team) const;
-    mesh::transfer_number ask(const host_id& peer, mesh::token_ask what);
+    mesh::transfer_number ask(const host_id& peer, mesh::token_request what);
     bool reserve(const team_id& team, tokens amount, int urgency);
     tokens kept_back(const team_id& team, int urgency) const;
-    tokens debit(const mesh::token_ask& ask);
-    void give(const mesh::token_ask& ask, const std::string& from,
+    tokens debit(const mesh::token_request& ask);
+    void give(const mesh::token_request& ask, const std::string& from,
               tokens amount);
     void answer_pending(instant begun);
     std::optional<host_id> best_peer(const team_id& team,
@@ -141,7 +142,7 @@
 
     node_tables& tables_;
     sender send_;
-    mesh::stock_book peers_;
+    mesh::stock_table peers_;
     prepaid::ration shares_;
     stock_keeper keeper_;
     std::vector<std::weak_ptr<asio::steady_timer>> waiting_;
@@ -151,9 +152,9 @@
     std::map<mesh::transfer_number, asked> asked_;
     std::map<host_id, instant> answered_by_; ///< When a node last answered.
     std::vector<pending_ask> pending_;
-    std::map<transfer_key, std::pair<mesh::token_give, instant>> answered_;
+    std::map<transfer_key, std::pair<mesh::token_grant, instant>> answered_;
     std::map<transfer_key, instant> gifts_taken_;
-    std::map<mesh::transfer_number, mesh::token_gift> gifts_;
+    std::map<mesh::transfer_number, mesh::token_push> gifts_;
     mesh::transfer_number last_number_;
 };
 
--- a/include/fennelladder/mesh/messages.hpp
+++ b/include/fennelladder/mesh/messages.hpp
@@ -36,7 +36,7 @@
 namespace fennelladder::mesh {
 
 /// One life of a node's process: drawn at random when it starts.
-using node_life = number_id<struct node_life_tag>;
+using node_incarnation = number_id<struct node_incarnation_tag>;
 
 /// Number of a transfer of tokens, unique within the life that began it.
 using transfer_number = number_id<struct transfer_number_tag>;
@@ -58,17 +58,17 @@
 };
 
 /// That another node was alive a while ago.
-struct heard_node
+struct recent_peer
 {
-    node_life life;
+    node_incarnation life;
     duration ago;
 };
 
 /// What a node says of itself, a few times a second.
-struct beacon
+struct node_heartbeat
 {
     host_id host;
-    node_life life;
+    node_incarnation life;
     std::uint64_t sequence = 0; ///< Grows with each beacon of a life.
     /// By the sender's clock; not said by nodes of earlier releases.
     std::optional<instant> sent;
@@ -90,14 +90,14 @@
     std::optional<catalog::evacuation_state> evacuations;
     std::optional<duration> evacuations_age;
     /// Since its process started; not said by nodes of earlier releases.
-    std::optional<duration> up_for;
+    std::optional<duration> uptime;
     /// Whole fleets lost lately, see prepaid/loss_memory.hpp; unset: unknown.
     std::optional<double> fleets_lost;
     /// Sent for news between two regular ones: without load and stock, of which
     /// the last said holds.
     bool is_brief = false;
     /// Latest changes, for those that may not know them.
-    std::optional<catalog::target_news> target_news;
+    std::optional<catalog::target_update> target_update;
     std::vector<dispatch::target_load> load;
     std::vector<token_stock> stock;
     /// What targets told it lately of the requests that they take.
@@ -106,14 +106,14 @@
     std::vector<catalog::target_process> leaving;
     std::vector<dispatch::poison_record> poison;
     std::vector<std::string> introduced; ///< Addresses of further nodes.
-    std::vector<heard_node> heard;       ///< Those heard last, directly.
+    std::vector<recent_peer> heard;      ///< Those heard last, directly.
 };
 
 /// Asks a peer for tokens. Asking again with the same number gets the same
 /// answer, whatever was lost in between.
-struct token_ask
+struct token_request
 {
-    node_life life;
+    node_incarnation life;
     transfer_number number;
     team_id team;
     tokens wanted; ///< The answer may be less.
@@ -126,9 +126,9 @@
 };
 
 /// The answer; the giver has already taken the amount out of its purse.
-struct token_give
+struct token_grant
 {
-    node_life life; ///< Of the one that asked.
+    node_incarnation life; ///< Of the one that asked.
     transfer_number number;
     team_id team;
     tokens amount;
@@ -139,29 +139,29 @@
 
 /// Tokens that a node hands on unasked, since it leaves. Repeated until it is
 /// confirmed; the receiver credits each number once.
-struct token_gift
+struct token_push
 {
-    node_life life;
+    node_incarnation life;
     transfer_number number;
     team_id team;
     tokens amount;
 };
 
-struct token_gift_taken
+struct token_push_ack
 {
-    node_life life; ///< Of the giver.
+    node_incarnation life; ///< Of the giver.
     transfer_number number;
 };
 
 /// One of these.
 struct datagram
 {
-    std::optional<beacon> hello;
-    std::optional<token_ask> ask;
-    std::optional<token_give> give;
-    std::optional<token_gift> gift;
-    std::optional<token_gift_taken> gift_taken;
-    std::size_t left_out = 0; ///< Parts that couldn't be, as decoded.
+    std::optional<node_heartbeat> heartbeat;
+    std::optional<token_request> request;
+    std::optional<token_grant> grant;
+    std::optional<token_push> push;
+    std::optional<token_push_ack> push_ack;
+    std::size_t invalid_parts = 0; ///< Parts that couldn't be, as decoded.
 };
 
 /// What is asked for. Targets and a configuration travel apart: one may be a
@@ -174,7 +174,7 @@
 };
 
 /// Asks a node for what it knows beyond this.
-struct sync_ask
+struct sync_request
 {
     catalog::configuration_version configuration;
     catalog::revision targets_as_of;
@@ -190,32 +190,34 @@
     catalog::revision targets_as_of;
     bool targets_full = false; ///< `targets` is the whole list.
     std::vector<catalog::target_change> targets;
-    /// The same configuration by pack(), see mesh/packed_text.hpp.
+    /// The same configuration by compress_text(), see
+    /// mesh/text_compression.hpp.
     std::string packed_configuration;
     /// There is a newer configuration, but no slot to send it: ask another, for
     /// instance one of `served`, which got `served_configuration` from here.
     bool busy = false;
     std::vector<std::string> served;
     catalog::configuration_version served_configuration;
-    std::size_t left_out = 0; ///< Parts that couldn't be, as decoded.
+    std::size_t invalid_parts = 0; ///< Parts that couldn't be, as decoded.
 };
 
 /// Limits of what is decoded. Wider than any fleet needs; beyond them sums
 /// overflow, or what one peer says costs the others memory without end.
-inline constexpr std::int32_t most_elements = 16'384; ///< Of a list.
-inline constexpr std::size_t longest_text = 256;      ///< Of ids, in bytes.
-inline constexpr std::size_t most_rows = 256; ///< Of a list in a beacon.
-inline constexpr tokens most_tokens(1'000'000'000'000'000);
-inline constexpr double most_requests = 1e9; ///< A second.
-inline constexpr double most_fleets_lost = 1000;
+inline constexpr std::int32_t max_list_elements = 16'384; ///< Of a list.
+inline constexpr std::size_t max_id_bytes = 256;          ///< Of ids, in bytes.
+inline constexpr std::size_t max_heartbeat_rows =
+    256; ///< Of a list in a beacon.
+inline constexpr tokens max_token_amount(1'000'000'000'000'000);
+inline constexpr double max_request_rate = 1e9; ///< A second.
+inline constexpr double max_fleets_lost = 1000;
 
 /// Datagrams up to this size fit in one packet on every network we know of
 /// (IPv4 and UDP headers within an Ethernet frame); larger ones go out in
 /// fragments and are lost more often.
-inline constexpr std::size_t packet_size = 1472;
+inline constexpr std::size_t max_packet_bytes = 1472;
 
 std::string encode(const datagram& message);
-std::string encode(const sync_ask& message);
+std::string encode(const sync_request& message);
 std::string encode(const sync_reply& message);
 
 /// Fail with `corrupt` on bytes that are no such message, or one whose sender,
@@ -223,7 +225,7 @@
 /// out, entries of targets pass catalog::check_target(); a target whose entry
 /// doesn't is told as gone.
 result<datagram> decode_datagram(std::string_view bytes);
-result<sync_ask> decode_sync_ask(std::string_view bytes);
+result<sync_request> decode_sync_request(std::string_view bytes);
 result<sync_reply> decode_sync_reply(std::string_view bytes);
 
 } // namespace fennelladder::mesh
--- a/include/fennelladder/mesh/roster.hpp
+++ b/include/fennelladder/mesh/peer_view.hpp
@@ -1,7 +1,7 @@
 // The nodes of the fleet as one node hears them.
 //
 //     roster nodes(self, options);
-//     if (nodes.hear(beacon, now))
+//     if (nodes.on_heartbeat(beacon, now))
 //         ... news: spread it, refresh the entry answers ...
 //     nodes.ready(now)                // whom callers may be sent to
 //     nodes.rank(...) < watchers      // this node watches the platform
@@ -12,11 +12,11 @@
 // Cost: a few words a node; every query is linear in the nodes. Not thread
 // safe.
 
-#ifndef FENNELLADDER_MESH_ROSTER_HPP
-#define FENNELLADDER_MESH_ROSTER_HPP
+#ifndef FENNELLADDER_MESH_PEER_VIEW_HPP
+#define FENNELLADDER_MESH_PEER_VIEW_HPP
 
 #include "fennelladder/mesh/messages.hpp"
-#include "fennelladder/mesh/way_delay.hpp"
+#include "fennelladder/mesh/transit_delay.hpp"
 
 #include <cstddef>
 #include <map>
@@ -27,64 +27,64 @@
 
 namespace fennelladder::mesh {
 
-struct roster_options
+struct peer_view_options
 {
     /// Between two beacons to the same node in a small fleet.
-    duration beacon_period = milliseconds(250);
+    duration heartbeat_period = milliseconds(250);
     /// Beacons a second that a node sends at most; a larger fleet hears each
     /// node less often.
-    double beacon_rate = 40;
+    double max_heartbeat_rate = 40;
     /// Addresses that never answered are all tried within so many periods of a
     /// small fleet: a fleet that starts anew finds itself in 2.5 s.
-    std::size_t periods_to_try_all = 10;
+    std::size_t probe_all_periods = 10;
     /// Nodes heard last that a beacon names, 14 bytes each. A node is heard of
     /// by so many more beacons than its own.
-    std::size_t mentions = 8;
+    std::size_t max_recent_peers = 8;
     /// A node of a small fleet is taken for dead after so many periods.
-    double silent_periods = 4;
+    double failure_periods = 4;
     /// In a large one, after so many times the mean time between two signs of
     /// it: mentions come by chance, and e^-10 of the gaps are longer.
-    double silent_gaps = 10;
+    double failure_gaps = 10;
     /// A node silent for this long is forgotten.
     duration forget_after = seconds(60);
     /// Its host counts for so long among those that share a limit.
-    duration host_memory = minutes(10);
+    duration host_retention = minutes(10);
     /// Addresses told in one beacon to a node that is new.
     std::size_t introductions = 16;
     /// Addresses told in every other beacon, 18 bytes each. A node of a fleet
     /// of 95 hears of 80 a second, so of all others within seconds.
-    std::size_t introductions_each = 2;
+    std::size_t introductions_per_heartbeat = 2;
 };
 
 /// A host with this share of the largest one's capacity counts as large.
-inline constexpr double large_share = 0.5;
+inline constexpr double large_capacity_ratio = 0.5;
 
 /// Whether a host of `capacity` counts as large where `largest` is the most.
 constexpr bool is_large(double capacity, double largest)
 {
-    return capacity >= largest * large_share;
+    return capacity >= largest * large_capacity_ratio;
 }
 
 /// Another node.
-struct node_row
+struct peer_record
 {
-    beacon last;   ///< Without what changes fast (load, stock, poison).
-    instant heard; ///< The last beacon.
-    instant seen;  ///< The last sign of life, a beacon or a mention.
-    way_delay way; ///< Of its beacons.
+    node_heartbeat last; ///< Without what changes fast (load, stock, poison).
+    instant heard;       ///< The last beacon.
+    instant seen;        ///< The last sign of life, a beacon or a mention.
+    transit_delay way;   ///< Of its beacons.
 };
 
 /// How a host compares in size with the living that reach the platform.
-struct size_place
+struct size_class
 {
     bool large = true;
     /// Of all living hosts, this one among them, those that reach the platform
     /// and are large: from 0 to 1.
-    double large_part = 1;
+    double large_fraction = 1;
 };
 
 /// What a beacon changed.
-struct roster_news
+struct heartbeat_effect
 {
     bool new_node = false; ///< Or a new life of a known one.
     bool state_changed = false;
@@ -95,15 +95,15 @@
     std::optional<duration> delay;
 };
 
-class roster
+class peer_view
 {
 public:
-    using row_map = std::map<host_id, node_row>;
+    using peer_map = std::map<host_id, peer_record>;
 
-    roster(host_id self, roster_options options);
+    peer_view(host_id self, peer_view_options options);
 
     /// Takes a beacon of another node in. Late ones are passed over.
-    roster_news hear(const beacon& from, instant now);
+    heartbeat_effect on_heartbeat(const node_heartbeat& from, instant now);
 
     /// Addresses to send beacons to although nobody answered there yet.
     void add_addresses(const std::vector<std::string>& addresses);
@@ -116,14 +116,14 @@
     std::vector<std::string> all_addresses() const;
 
     /// Whom to mention in a beacon: those whose beacons came last.
-    std::vector<heard_node> heard_lately(instant now) const;
+    std::vector<recent_peer> recent_peers(instant now) const;
 
     /// A node without a sign of life for this long is taken for dead.
     duration silence_limit() const;
 
     /// Nodes heard lately, by host.
-    std::vector<const node_row*> alive(instant now) const;
-    bool is_alive(const node_row& row, instant now) const;
+    std::vector<const peer_record*> alive(instant now) const;
+    bool is_alive(const peer_record& row, instant now) const;
 
     /// Hosts of this and all living nodes that aren't leaving, sorted.
     std::vector<host_id> members(instant now) const;
@@ -135,21 +135,21 @@
                      instant now) const;
 
     /// The node that comes first in that order, unless it is this one.
-    const node_row* leader(std::string_view salt, bool reached, double capacity,
-                           instant now) const;
+    const peer_record* leader(std::string_view salt, bool reached,
+                              double capacity, instant now) const;
 
     /// Where this node stands by size; `capacity` is its own. Others that
     /// don't reach the platform ask it nothing, so they aren't compared with.
-    size_place place_by_size(double capacity, instant now) const;
+    size_class classify_size(double capacity, instant now) const;
 
     /// The large ones of this host, of `capacity`, and all others within
-    /// host_memory, living or not.
+    /// host_retention, living or not.
     std::vector<host_id> large_hosts(double capacity) const;
 
     /// The others of these.
     std::vector<host_id> small_hosts(double capacity) const;
 
-    /// This host, all others within host_memory, and the addresses that have
+    /// This host, all others within host_retention, and the addresses that have
     /// never answered. Guards against the halves of a fleet in two, and nodes
     /// that start in one of them: each would share a limit among fewer hosts
     /// than there are.
@@ -171,11 +171,11 @@
     /// Nodes ever heard and not forgotten, and this one.
     std::size_t size() const { return rows_.size() + 1; }
 
-    const row_map& rows() const { return rows_; }
+    const peer_map& rows() const { return rows_; }
 
     void forget_old(instant now);
 
-    const roster_options& options() const { return options_; }
+    const peer_view_options& options() const { return options_; }
 
 private:
     /// A place in an order that all nodes agree on; the greatest comes first.
@@ -187,17 +187,17 @@
         instant heard;
     };
 
-    std::vector<std::pair<place, const node_row*>>
+    std::vector<std::pair<place, const peer_record*>>
     ahead_of(std::string_view salt, bool reached, double capacity,
              instant now) const;
     std::vector<host_id> hosts_by_size(double capacity, bool large) const;
-    void take_mentions(const beacon& from, instant now);
+    void take_mentions(const node_heartbeat& from, instant now);
     double phase_of(const host_id& other) const;
 
     host_id self_;
-    roster_options options_;
-    row_map rows_;
-    std::map<host_id, known_host> hosts_; ///< All within host_memory.
+    peer_view_options options_;
+    peer_map rows_;
+    std::map<host_id, known_host> hosts_; ///< All within host_retention.
     std::vector<std::string> unanswered_; ///< Addresses without a row.
     std::map<std::string, instant> next_due_;
     std::size_t turn_ = 0;       ///< Which unanswered address is next.
--- a/include/fennelladder/mesh/stock_book.hpp
+++ b/include/fennelladder/mesh/stock_table.hpp
@@ -1,8 +1,8 @@
 // What the other nodes hold of each team's tokens, as their beacons say.
 //
-//     stock_book known;
-//     known.hear(beacon, now);
-//     known.richest(team, tried, now - most_age)   // whom to ask
+//     stock_table known;
+//     known.on_heartbeat(beacon, now);
+//     known.largest_holder(team, tried, now - most_age)   // whom to ask
 //     known.deduct(host, team, amount);            // it was asked for that
 //     known.forget(host);                          // its process has died
 //
@@ -12,8 +12,8 @@
 //
 // Cost: queries are linear in the nodes. Not thread safe.
 
-#ifndef FENNELLADDER_MESH_STOCK_BOOK_HPP
-#define FENNELLADDER_MESH_STOCK_BOOK_HPP
+#ifndef FENNELLADDER_MESH_STOCK_TABLE_HPP
+#define FENNELLADDER_MESH_STOCK_TABLE_HPP
 
 #include "fennelladder/mesh/messages.hpp"
 
@@ -25,35 +25,35 @@
 namespace fennelladder::mesh {
 
 /// Sums over the nodes that were heard lately.
-struct known_stock
+struct stock_totals
 {
     tokens free;
-    tokens free_of_some; ///< Of that, held by the nodes asked about.
+    tokens free_of_subset; ///< Of that, held by the nodes asked about.
     tokens spent_per_second;
 };
 
-class stock_book
+class stock_table
 {
 public:
     /// Takes a regular beacon in; of a leaving node nothing is kept, since it
     /// hands its tokens on.
-    void hear(const beacon& from, instant now);
+    void on_heartbeat(const node_heartbeat& from, instant now);
 
     /// The host's process has died. Returns what it last said to hold.
     std::vector<token_stock> forget(const host_id& host);
 
     /// The node with most of the team's tokens, of those heard since `since`
     /// that aren't in `but`. Nothing if none is known to have any.
-    std::optional<host_id> richest(const team_id& team,
-                                   const std::set<host_id>& but,
-                                   instant since) const;
+    std::optional<host_id> largest_holder(const team_id& team,
+                                          const std::set<host_id>& but,
+                                          instant since) const;
 
     /// Until its next word, what a node was asked for counts as gone.
     void deduct(const host_id& host, const team_id& team, tokens amount);
 
     /// What nodes heard since `since` hold together.
-    known_stock sum(const team_id& team, std::span<const host_id> some,
-                    instant since) const;
+    stock_totals sum(const team_id& team, std::span<const host_id> some,
+                     instant since) const;
 
 private:
     struct row
--- a/include/fennelladder/mesh/transfer_slots.hpp
+++ b/include/fennelladder/mesh/transfer_slots.hpp
@@ -3,7 +3,7 @@
 //
 //     transfer_slots slots(link_bits_per_second);
 //     if (const auto slot = slots.begin(now)) {
-//         ... for each piece: while slots.wait_before(*slot, bytes, now)
+//         ... for each piece: while slots.pacing_delay(*slot, bytes, now)
 //             isn't 0, wait so long; send ...
 //         slots.end(*slot);
 //         slots.note_served(version, peer_address);
@@ -45,14 +45,14 @@
 using transfer_id = number_id<struct transfer_id_tag>;
 
 /// A transfer takes no longer, whatever trickles in.
-inline constexpr duration longest_transfer = seconds(10);
+inline constexpr duration transfer_timeout = seconds(10);
 
 /// Without a byte, a transfer has failed: a host of an eighth of a core may not
 /// run for some 100 ms, and a lost packet costs 200 to 400 ms.
-inline constexpr duration longest_silence = milliseconds(700);
+inline constexpr duration transfer_idle_timeout = milliseconds(700);
 
 /// Nodes named to an asker that has to go elsewhere.
-inline constexpr std::size_t most_named = 8;
+inline constexpr std::size_t max_referrals = 8;
 
 class transfer_slots
 {
@@ -64,7 +64,7 @@
     std::size_t size() const { return size_; }
 
     /// Takes a slot; none if all are taken. One that isn't given back is free
-    /// again after `longest_transfer`.
+    /// again after `transfer_timeout`.
     std::optional<transfer_id> begin(instant now);
 
     void end(transfer_id id);
@@ -73,7 +73,7 @@
     /// long to wait before asking again. The transfer that began first goes
     /// first: of two that take turns, both end as late as the second would. One
     /// that has to wait for it sends a piece each 300 ms all the same.
-    duration wait_before(transfer_id id, std::size_t bytes, instant now);
+    duration pacing_delay(transfer_id id, std::size_t bytes, instant now);
 
     /// `address` has got `version` from here.
     void note_served(catalog::configuration_version version,
--- a/include/fennelladder/mesh/way_delay.hpp
+++ b/include/fennelladder/mesh/transit_delay.hpp
@@ -1,6 +1,6 @@
 // How much longer than usual the messages of one peer are under way.
 //
-//     way_delay way;
+//     transit_delay way;
 //     const duration late = way.take(beacon.sent, now);
 //
 // The clocks of two hosts differ by an unknown amount, so one message says
@@ -19,8 +19,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_MESH_WAY_DELAY_HPP
-#define FENNELLADDER_MESH_WAY_DELAY_HPP
+#ifndef FENNELLADDER_MESH_TRANSIT_DELAY_HPP
+#define FENNELLADDER_MESH_TRANSIT_DELAY_HPP
 
 #include "fennelladder/base/time.hpp"
 
@@ -29,7 +29,7 @@
 
 namespace fennelladder::mesh {
 
-class way_delay
+class transit_delay
 {
 public:
     static constexpr duration span = minutes(5);
--- a/include/fennelladder/mesh/news_lateness.hpp
+++ b/include/fennelladder/mesh/update_lateness.hpp
@@ -1,6 +1,6 @@
 // Whether a host hears of changes too late to give out work.
 //
-//     news_lateness lateness(bound);
+//     update_lateness lateness(bound);
 //     lateness.note(delay, now);                       // of each beacon
 //     if (lateness.is_late(age_of_targets, now)) ...   // refuse: not run
 //
@@ -17,8 +17,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_MESH_NEWS_LATENESS_HPP
-#define FENNELLADDER_MESH_NEWS_LATENESS_HPP
+#ifndef FENNELLADDER_MESH_UPDATE_LATENESS_HPP
+#define FENNELLADDER_MESH_UPDATE_LATENESS_HPP
 
 #include "fennelladder/base/time.hpp"
 
@@ -26,11 +26,11 @@
 
 namespace fennelladder::mesh {
 
-class news_lateness
+class update_lateness
 {
 public:
     /// News have to be in force within `bound`.
-    explicit news_lateness(duration bound) : bound_(bound) {}
+    explicit update_lateness(duration bound) : bound_(bound) {}
 
     /// A message came that was under way for `delay` longer than usual.
     void note(duration delay, instant now);
@@ -51,7 +51,7 @@
 
     /// The same, for who has to be sure that something arrives in time: what is
     /// waited while the queue grows or falls.
-    std::optional<duration> longest_delay(instant now) const;
+    std::optional<duration> max_delay(instant now) const;
 
 private:
     /// Of the latest messages the one that waited least: one that was held up
--- a/libs/catalog/configuration.cpp
+++ b/libs/catalog/configuration.cpp
@@ -8,7 +8,7 @@
 
 namespace fennelladder::catalog {
 
-std::string normal_host_name(std::string_view host_name)
+std::string normalize_host_name(std::string_view host_name)
 {
     const auto colon = host_name.rfind(':');
     if (colon != std::string_view::npos &&
@@ -53,7 +53,7 @@
 {
     for (std::size_t i = 0; i < parts_.routes.size(); ++i) {
         route& it = parts_.routes[i];
-        it.host_name = normal_host_name(it.host_name);
+        it.host_name = normalize_host_name(it.host_name);
         by_host_[it.host_name].push_back(i);
     }
     for (auto& [host, routes] : by_host_)
@@ -72,7 +72,7 @@
 const route* configuration::find_route(std::string_view host_name,
                                        std::string_view path) const
 {
-    const auto it = by_host_.find(normal_host_name(host_name));
+    const auto it = by_host_.find(normalize_host_name(host_name));
     if (it == by_host_.end())
         return nullptr;
     for (const std::size_t i : it->second)
@@ -84,7 +84,7 @@
 allowed_regions configuration::regions_of_host(std::string_view host_name) const
 {
     allowed_regions out;
-    const auto it = by_host_.find(normal_host_name(host_name));
+    const auto it = by_host_.find(normalize_host_name(host_name));
     if (it == by_host_.end())
         return out;
     for (const std::size_t i : it->second)
--- a/libs/catalog/evacuation_list.cpp
+++ b/libs/catalog/evacuation_list.cpp
@@ -12,8 +12,8 @@
     auto& names = state.data_centers;
     std::ranges::sort(names);
     names.erase(std::unique(names.begin(), names.end()), names.end());
-    if (names.size() > most_evacuations)
-        names.resize(most_evacuations);
+    if (names.size() > max_evacuations)
+        names.resize(max_evacuations);
     const bool changed = !known_ || names != state_.data_centers;
     state_ = std::move(state);
     known_ = true;
--- a/libs/catalog/evacuation_list_test.cpp
+++ b/libs/catalog/evacuation_list_test.cpp
@@ -69,8 +69,8 @@
 TEST(evacuation_list, a_list_without_end_is_cut)
 {
     evacuation_state many{{}, revision(3)};
-    for (std::size_t i = 0; i < most_evacuations + 20; ++i)
+    for (std::size_t i = 0; i < max_evacuations + 20; ++i)
         many.data_centers.emplace_back("d" + std::to_string(i));
     list.replace_all(many);
-    UNSIGNED_LONGS_EQUAL(most_evacuations, list.state().data_centers.size());
+    UNSIGNED_LONGS_EQUAL(max_evacuations, list.state().data_centers.size());
 }
--- a/libs/catalog/target_entry.cpp
+++ b/libs/catalog/target_entry.cpp
@@ -17,7 +17,7 @@
 
 bool is_id(const std::string& text)
 {
-    return !text.empty() && text.size() <= longest_target_text;
+    return !text.empty() && text.size() <= max_target_id_bytes;
 }
 
 } // namespace
@@ -31,12 +31,12 @@
     if (!is_ip_and_port(entry.address))
         return fail(error_code::corrupt, "target's address");
     // An unknown data centre costs a detour and no more.
-    if (entry.data_center.str().size() > longest_target_text)
+    if (entry.data_center.str().size() > max_target_id_bytes)
         return fail(error_code::corrupt, "target's data centre");
-    if (entry.slots == 0 || entry.slots > most_target_slots)
+    if (entry.slots == 0 || entry.slots > max_target_slots)
         return fail(error_code::corrupt, "target's slots");
-    if (entry.warm_up_left < duration(0) ||
-        entry.warm_up_left > longest_warm_up)
+    if (entry.remaining_warm_up < duration(0) ||
+        entry.remaining_warm_up > max_warm_up)
         return fail(error_code::corrupt, "target's warm-up");
     return {};
 }
@@ -85,7 +85,7 @@
     return true;
 }
 
-bool target_list::take_news(const target_news& news)
+bool target_list::apply_update(const target_update& news)
 {
     if (!known_)
         return false;
@@ -99,9 +99,9 @@
     return apply(unknown, news.as_of);
 }
 
-target_news target_list::latest_news(std::size_t most) const
+target_update target_list::latest_update(std::size_t most) const
 {
-    target_news out;
+    target_update out;
     out.as_of = as_of_;
     const std::size_t skipped = log_.size() - std::min(most, log_.size());
     out.since = skipped == 0 ? log_from_ : log_[skipped - 1].at;
@@ -128,7 +128,8 @@
 void target_list::settle_start(target_change& change) const
 {
     const auto known = starts_.find(change.id);
-    if (change.entry && !is_said(change.entry->start) && known != starts_.end())
+    if (change.entry && !is_known(change.entry->start) &&
+        known != starts_.end())
         change.entry->start = known->second.start;
 }
 
--- a/libs/catalog/target_entry_test.cpp
+++ b/libs/catalog/target_entry_test.cpp
@@ -127,7 +127,8 @@
         if (it.known > 10)
             follower.apply(*first.changes_since(revision(10)),
                            revision(it.known));
-        CHECK_EQUAL(it.taken, follower.take_news(first.latest_news(it.most)));
+        CHECK_EQUAL(it.taken,
+                    follower.apply_update(first.latest_update(it.most)));
         if (it.taken)
             CHECK(follower.entries() == first.entries());
     }
@@ -138,7 +139,7 @@
     target_list first;
     first.replace_all({there("a", 3)}, revision(10));
     target_list other;
-    CHECK(!other.take_news(first.latest_news(8)));
+    CHECK(!other.apply_update(first.latest_update(8)));
     CHECK(!other.known());
 }
 
@@ -236,8 +237,8 @@
     target_list saw_last;
     saw_last.replace_all({process("a", 100, 12)}, revision(13));
     target_list other = saw_last;
-    saw_both.take_news(saw_last.latest_news(8));
-    CHECK(saw_last.take_news(saw_both.latest_news(8)));
+    saw_both.apply_update(saw_last.latest_update(8));
+    CHECK(saw_last.apply_update(saw_both.latest_update(8)));
     CHECK(saw_last.as_of() == revision(13));
     // Fetched over a connection, as of an earlier revision.
     other.apply(*saw_both.changes_since(revision(11)), saw_both.as_of());
@@ -256,7 +257,7 @@
     target_list other = first;
     first.apply({gone("b", 11)}, revision(11));
     first.apply({process("a", 200, 12)}, revision(12));
-    CHECK(other.take_news(first.latest_news(1)));
+    CHECK(other.apply_update(first.latest_update(1)));
     UNSIGNED_LONGS_EQUAL(200, start_of(other, "a"));
     CHECK(other.as_of() == revision(10));
     CHECK(other.latest_change() <= other.as_of());
@@ -272,6 +273,6 @@
     list.replace_all({process("a", 200, 5)}, revision(10));
     for (std::uint64_t at = 20; at < 30; ++at)
         list.replace_all({process("a", 100, 12)}, revision(at));
-    UNSIGNED_LONGS_EQUAL(2, list.latest_news(16).changes.size());
+    UNSIGNED_LONGS_EQUAL(2, list.latest_update(16).changes.size());
     CHECK(list.latest_change() == revision(12));
 }
--- a/libs/dispatch/poison_list.cpp
+++ b/libs/dispatch/poison_list.cpp
@@ -34,9 +34,9 @@
     const auto of_id =
         std::ranges::find(it.deaths, target.id, &catalog::target_process::id);
     const bool known_id = of_id != it.deaths.end();
-    if (known_id && !catalog::is_said(target.start))
+    if (known_id && !catalog::is_known(target.start))
         return false;
-    if (known_id && !catalog::is_said(of_id->start)) {
+    if (known_id && !catalog::is_known(of_id->start)) {
         of_id->start = target.start;
         return false;
     }
--- a/libs/dispatch/restricted_targets_test.cpp
+++ b/libs/dispatch/restricted_targets_test.cpp
@@ -181,7 +181,7 @@
     traits();
     book.set_carrier_hosts({host_id("a")});
     auto listed = targets(2, 1);
-    listed.at(target_id("i-0")).warm_up_left = cold_for;
+    listed.at(target_id("i-0")).remaining_warm_up = cold_for;
     book.sync(listed, false, start);
     const auto got = send(book, 500, start);
     CHECK(got.at(target_id("i-0")) > 0);
@@ -197,7 +197,7 @@
     book.set_carrier_hosts({});
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
-        entry.warm_up_left = cold_for;
+        entry.remaining_warm_up = cold_for;
     book.sync(listed, false, start);
     CHECK(!book.choose(wish, start, random).has_value());
     CHECK(book.why_none(wish, start) == absence::cold);
@@ -208,7 +208,7 @@
 {
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
-        entry.warm_up_left = cold_for;
+        entry.remaining_warm_up = cold_for;
     book.sync(listed, false, start);
     CHECK(book.choose(wish, start, random).has_value());
 }
@@ -220,7 +220,7 @@
     traits();
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
-        entry.warm_up_left = cold_for;
+        entry.remaining_warm_up = cold_for;
     book.sync(listed, false, start);
     book.sync(listed, false, start + seconds(2));
     CHECK(book.choose(wish, start + cold_for, random).has_value());
@@ -229,7 +229,8 @@
 TEST(restricted_targets, a_target_may_say_that_it_is_cold)
 {
     traits();
-    book.note_signals({target_id("i-0"), {}}, {.cold_left = cold_for}, start);
+    book.note_signals({target_id("i-0"), {}}, {.remaining_cold = cold_for},
+                      start);
     const auto got = send(book, 100, start);
     CHECK(!got.contains(target_id("i-0")));
 }
--- a/libs/dispatch/signal_state.cpp
+++ b/libs/dispatch/signal_state.cpp
@@ -37,8 +37,8 @@
         rest_until_ = now + *said.rest;
         out.rest = true;
     }
-    if (said.cold_left)
-        cool_until(now + *said.cold_left);
+    if (said.remaining_cold)
+        cool_until(now + *said.remaining_cold);
     if (said.rate_limit || said.is_latest) {
         own_rate_ = said.rate_limit;
         own_said_ = now;
--- a/libs/dispatch/target_book.cpp
+++ b/libs/dispatch/target_book.cpp
@@ -125,14 +125,14 @@
         replaced.push_back(it.entry);
     // An entry that comes again says nothing new of when its target is warm.
     const bool cold_anew =
-        !same_process || entry.warm_up_left != it.entry.warm_up_left;
+        !same_process || entry.remaining_warm_up != it.entry.remaining_warm_up;
     if (!same_process)
         it = target_state();
     // Without starts, only a move shows that another process has the id.
-    if (moved && !catalog::is_said(entry.start))
+    if (moved && !catalog::is_known(entry.start))
         it.said = signal_state();
-    if (cold_anew && entry.warm_up_left > duration(0))
-        it.said.cool_until(now + entry.warm_up_left);
+    if (cold_anew && entry.remaining_warm_up > duration(0))
+        it.said.cool_until(now + entry.remaining_warm_up);
     if (moved)
         forget_address(it);
     it.entry = entry;
@@ -291,7 +291,7 @@
 /// A load without a start is of whichever process is known.
 target_book::target_state* target_book::find(const target_load& load)
 {
-    if (catalog::is_said(load.start))
+    if (catalog::is_known(load.start))
         return find(catalog::target_process{load.target, load.start});
     const auto it = targets_.find(load.target);
     return it == targets_.end() ? nullptr : &it->second;
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -245,8 +245,8 @@
         out.push_back({settings.listen.callers, settings.data_center,
                        settings.region, tables_.capacity(),
                        tables_.requests_taken.at(now)});
-    for (const mesh::node_row* it : tables_.nodes.alive(now)) {
-        const mesh::beacon& last = it->last;
+    for (const mesh::peer_record* it : tables_.nodes.alive(now)) {
+        const mesh::node_heartbeat& last = it->last;
         if (last.state == mesh::node_state::ready &&
             !last.caller_address.empty())
             out.push_back({last.caller_address, last.data_center,
--- a/libs/edge/entry_planner.cpp
+++ b/libs/edge/entry_planner.cpp
@@ -1,6 +1,6 @@
 #include "fennelladder/edge/entry_planner.hpp"
 
-#include "fennelladder/mesh/roster.hpp"
+#include "fennelladder/mesh/peer_view.hpp"
 
 #include <algorithm>
 #include <numeric>
--- a/libs/edge/mesh_node.cpp
+++ b/libs/edge/mesh_node.cpp
@@ -67,7 +67,7 @@
 
 /// What changes all the time anyway comes with the next regular beacon; without
 /// it the news fit one packet.
-void make_brief(mesh::beacon& it)
+void make_brief(mesh::node_heartbeat& it)
 {
     it.is_brief = true;
     it.load.clear();
@@ -146,9 +146,9 @@
     }
 }
 
-mesh::beacon mesh_node::own_beacon()
+mesh::node_heartbeat mesh_node::own_beacon()
 {
-    mesh::beacon out;
+    mesh::node_heartbeat out;
     out.host = tables_.settings.host;
     out.life = tables_.life;
     out.sequence = ++sequence_;
@@ -168,9 +168,9 @@
     out.evacuations_age = tables_.evacuations_freshness.age(tables_.now());
     out.configuration_age = tables_.configuration_freshness.age(tables_.now());
     out.targets_age = tables_.targets_freshness.age(tables_.now());
-    out.up_for = tables_.now() - tables_.started;
+    out.uptime = tables_.now() - tables_.started;
     out.fleets_lost = tables_.losses.known(tables_.now());
-    out.heard = tables_.nodes.heard_lately(tables_.now());
+    out.heard = tables_.nodes.recent_peers(tables_.now());
     out.load = tables_.book.own_load();
     keep_largest(out.load, load_limit, &dispatch::target_load::running);
     if (desk_ != nullptr)
@@ -187,9 +187,9 @@
 void mesh_node::greet(const std::string& address)
 {
     mesh::datagram message;
-    mesh::roster& nodes = tables_.nodes;
-    message.hello = own_beacon();
-    message.hello->introduced =
+    mesh::peer_view& nodes = tables_.nodes;
+    message.heartbeat = own_beacon();
+    message.heartbeat->introduced =
         nodes.introductions(nodes.options().introductions, tables_.now());
     send_to_all({address}, message, traffic::greetings);
 }
@@ -199,10 +199,10 @@
     if (addresses.empty())
         return;
     mesh::datagram message;
-    mesh::roster& nodes = tables_.nodes;
-    message.hello = own_beacon();
-    message.hello->introduced =
-        nodes.introductions(nodes.options().introductions_each, tables_.now());
+    mesh::peer_view& nodes = tables_.nodes;
+    message.heartbeat = own_beacon();
+    message.heartbeat->introduced = nodes.introductions(
+        nodes.options().introductions_per_heartbeat, tables_.now());
     send_to_all(addresses, message, traffic::beacons);
 }
 
@@ -213,17 +213,18 @@
     if (addresses.empty())
         return;
     mesh::datagram message;
-    message.hello = own_beacon();
+    message.heartbeat = own_beacon();
     if (tables_.targets.known())
-        message.hello->target_news = tables_.targets.latest_news(news_limit);
+        message.heartbeat->target_update =
+            tables_.targets.latest_update(news_limit);
     if (!tables_.leaving)
-        make_brief(*message.hello);
+        make_brief(*message.heartbeat);
     send_to_all(addresses, message, traffic::news);
 }
 
 /// Whether a peer's beacon shows that it missed what this node knows: it was
 /// sent after this node had heard of it.
-bool mesh_node::missed_news(const mesh::node_row& peer) const
+bool mesh_node::missed_news(const mesh::peer_record& peer) const
 {
     return peer.last.targets_as_of < tables_.targets.latest_change() &&
            peer.heard > tables_.targets_changed;
@@ -328,7 +329,7 @@
             note_unreadable(sender, got.error());
             continue;
         }
-        if (got->left_out > 0)
+        if (got->invalid_parts > 0)
             note_unreadable(sender, {error_code::corrupt, "parts left out"});
         take(*got, sender + ":" + std::to_string(from.port()));
     }
@@ -342,24 +343,24 @@
 
 void mesh_node::take(const mesh::datagram& message, const std::string& from)
 {
-    if (message.hello)
-        take_beacon(*message.hello);
+    if (message.heartbeat)
+        take_beacon(*message.heartbeat);
     if (desk_ == nullptr)
         return;
-    if (message.ask)
-        desk_->on_ask(*message.ask, from);
-    if (message.give)
-        desk_->on_give(*message.give);
-    if (message.gift)
-        desk_->on_gift(*message.gift, from);
-    if (message.gift_taken)
-        desk_->on_gift_taken(*message.gift_taken);
+    if (message.request)
+        desk_->on_ask(*message.request, from);
+    if (message.grant)
+        desk_->on_give(*message.grant);
+    if (message.push)
+        desk_->on_gift(*message.push, from);
+    if (message.push_ack)
+        desk_->on_gift_taken(*message.push_ack);
 }
 
-void mesh_node::take_beacon(const mesh::beacon& from)
+void mesh_node::take_beacon(const mesh::node_heartbeat& from)
 {
     const instant now = tables_.now();
-    const mesh::roster_news news = tables_.nodes.hear(from, now);
+    const mesh::heartbeat_effect news = tables_.nodes.on_heartbeat(from, now);
     introduce(from.introduced);
     if (news.died)
         note_death(from.host, now);
@@ -377,7 +378,7 @@
         log_event(event::node_state_changed,
                   {{"node", from.host.str()},
                    {"state", std::to_string(static_cast<int>(from.state))}});
-    if (from.target_news && tables_.targets.take_news(*from.target_news))
+    if (from.target_update && tables_.targets.apply_update(*from.target_update))
         tables_.list_changed();
     if (from.evacuations)
         tables_.take_evacuations(*from.evacuations, from.host.str());
@@ -395,23 +396,23 @@
 }
 
 /// A younger node knows less than this one has seen.
-void mesh_node::hear_losses(const mesh::beacon& from, instant now)
+void mesh_node::hear_losses(const mesh::node_heartbeat& from, instant now)
 {
-    const bool is_older = from.up_for && *from.up_for > now - tables_.started;
+    const bool is_older = from.uptime && *from.uptime > now - tables_.started;
     if (is_older && from.fleets_lost)
         tables_.losses.hear(*from.fleets_lost, now);
 }
 
 /// A beacon without load and stock says nothing of them; taken as empty, every
 /// change of a target made its targets look idle and its tokens gone.
-void mesh_node::take_holdings(const mesh::beacon& from)
+void mesh_node::take_holdings(const mesh::node_heartbeat& from)
 {
     tables_.book.peer_load(from.host, from.load);
     if (desk_ != nullptr)
         desk_->on_stock(from);
 }
 
-void mesh_node::take_signals(const mesh::beacon& from, instant sent)
+void mesh_node::take_signals(const mesh::node_heartbeat& from, instant sent)
 {
     for (const auto& it :
          tables_.book.peer_leaving(from.leaving, tables_.now()))
@@ -424,7 +425,7 @@
 
 /// A peer that was up to date at some time says what the newest was then. A
 /// node that has that, or more, was up to date then as well.
-void mesh_node::take_freshness(const mesh::beacon& from,
+void mesh_node::take_freshness(const mesh::node_heartbeat& from,
                                std::optional<duration> delay, instant now)
 {
     // One that doesn't say when it was sent says nothing of its way: counted
--- a/libs/edge/news_exchange.cpp
+++ b/libs/edge/news_exchange.cpp
@@ -1,7 +1,7 @@
 #include "fennelladder/edge/news_exchange.hpp"
 
 #include "fennelladder/edge/simple_server.hpp"
-#include "fennelladder/mesh/packed_text.hpp"
+#include "fennelladder/mesh/text_compression.hpp"
 #include "fennelladder/telemetry/log.hpp"
 #include "platform/configuration_codec.hpp"
 
@@ -12,7 +12,7 @@
 
 namespace {
 
-using mesh::fetch_end;
+using mesh::fetch_result;
 using mesh::sync_part;
 using telemetry::log_event;
 namespace event = telemetry::event;
@@ -51,7 +51,7 @@
     return part == sync_part::targets ? "targets" : "configuration";
 }
 
-mesh::news_source source_of(const mesh::beacon& from)
+mesh::update_source source_of(const mesh::node_heartbeat& from)
 {
     return {from.peer_address, from.data_center, from.capacity};
 }
@@ -70,16 +70,16 @@
                                 {{"what", name}, {"result", "failed"}}))
 {}
 
-telemetry::counter& news_exchange::fetching::count_of(fetch_end end) const
+telemetry::counter& news_exchange::fetching::count_of(fetch_result end) const
 {
     switch (end) {
-    case fetch_end::done:
+    case fetch_result::done:
         return done;
-    case fetch_end::not_newer:
+    case fetch_result::not_newer:
         return not_newer;
-    case fetch_end::busy:
+    case fetch_result::busy:
         return busy;
-    case fetch_end::failed:
+    case fetch_result::failed:
         break;
     }
     return failed;
@@ -106,7 +106,7 @@
     return {};
 }
 
-void news_exchange::hear(const mesh::beacon& from)
+void news_exchange::hear(const mesh::node_heartbeat& from)
 {
     if (is_ahead(from, sync_part::targets))
         begin(targets_);
@@ -114,7 +114,8 @@
         begin(configuration_);
 }
 
-bool news_exchange::is_ahead(const mesh::beacon& from, sync_part part) const
+bool news_exchange::is_ahead(const mesh::node_heartbeat& from,
+                             sync_part part) const
 {
     if (part == sync_part::targets)
         return from.targets_changed > tables_.targets.as_of();
@@ -139,15 +140,15 @@
         const auto sources = sources_of(what.part);
         if (sources.empty())
             break;
-        const auto awake = what.rests.awake(sources, tables_.now());
+        const auto available = what.rests.available(sources, tables_.now());
         const std::string address = mesh::choose_source(
-            awake, tables_.settings.data_center, tables_.random);
-        fetch_end end = fetch_end::busy;
+            available, tables_.settings.data_center, tables_.random);
+        fetch_result end = fetch_result::busy;
         if (!address.empty())
             end = co_await fetch_from(what, address);
         const duration wait =
-            mesh::ask_pause(tables_.nodes.size(), sources.size());
-        if (end != fetch_end::done)
+            mesh::request_interval(tables_.nodes.size(), sources.size());
+        if (end != fetch_result::done)
             co_await sleep_on(timer, jitter(tables_.random, wait));
     }
     what.under_way = false;
@@ -160,26 +161,26 @@
         return duration(0);
     const auto living = tables_.nodes.alive(tables_.now());
     double largest = tables_.capacity();
-    for (const mesh::node_row* it : living)
+    for (const mesh::peer_record* it : living)
         largest = std::max(largest, it->last.capacity);
     const bool large = mesh::is_large(tables_.capacity(), largest);
     const auto others =
-        std::ranges::count_if(living, [&](const mesh::node_row* it) {
+        std::ranges::count_if(living, [&](const mesh::peer_record* it) {
             return mesh::is_large(it->last.capacity, largest);
         });
     const double nodes = static_cast<double>(living.size() + 1);
     const double large_part =
         (static_cast<double>(others) + (large ? 1 : 0)) / nodes;
-    return mesh::head_start(large, large_part, living.size() + 1,
-                            sources_of(what.part).size(), tables_.random);
+    return mesh::initial_delay(large, large_part, living.size() + 1,
+                               sources_of(what.part).size(), tables_.random);
 }
 
 /// The living nodes that have more of `part`, by their beacons and as other
 /// nodes named them.
-std::vector<mesh::news_source> news_exchange::sources_of(sync_part part)
+std::vector<mesh::update_source> news_exchange::sources_of(sync_part part)
 {
-    std::vector<mesh::news_source> out;
-    for (const mesh::node_row* it : tables_.nodes.alive(tables_.now()))
+    std::vector<mesh::update_source> out;
+    for (const mesh::peer_record* it : tables_.nodes.alive(tables_.now()))
         if (is_ahead(it->last, part))
             out.push_back(source_of(it->last));
     if (part == sync_part::configuration)
@@ -187,13 +188,13 @@
     return out;
 }
 
-void news_exchange::add_named(std::vector<mesh::news_source>& to)
+void news_exchange::add_named(std::vector<mesh::update_source>& to)
 {
     std::erase_if(
         named_, [&](const auto& it) { return it.second <= tables_.version(); });
     if (named_.empty())
         return;
-    std::map<std::string, mesh::news_source> heard;
+    std::map<std::string, mesh::update_source> heard;
     for (const auto& [host, row] : tables_.nodes.rows())
         heard[row.last.peer_address] = source_of(row.last);
     for (const auto& it : named_) {
@@ -204,13 +205,13 @@
             continue;
         const auto known = heard.find(address);
         to.push_back(known == heard.end()
-                         ? mesh::news_source{address, data_center_id(), 0}
+                         ? mesh::update_source{address, data_center_id(), 0}
                          : known->second);
     }
 }
 
-awaitable<fetch_end> news_exchange::fetch_from(fetching& what,
-                                               std::string address)
+awaitable<fetch_result> news_exchange::fetch_from(fetching& what,
+                                                  std::string address)
 {
     const instant begun = tables_.now();
     peer_stream stream(tables_.io);
@@ -220,13 +221,14 @@
     stream.close();
     fetched_bytes_.add(stream.bytes_read());
     const duration took = tables_.now() - begun;
-    const fetch_end end =
-        read ? take_answer(what, bytes, address) : fetch_end::failed;
+    const fetch_result end =
+        read ? take_answer(what, bytes, address) : fetch_result::failed;
     note_end(what, address, end);
-    if (end == fetch_end::busy || end == fetch_end::not_newer)
+    if (end == fetch_result::busy || end == fetch_result::not_newer)
         co_return end;
     log_event(
-        end == fetch_end::done ? event::news_fetched : event::news_fetch_failed,
+        end == fetch_result::done ? event::news_fetched
+                                  : event::news_fetch_failed,
         {{"what", what.name},
          {"from", address},
          {"bytes", std::to_string(stream.bytes_read())},
@@ -247,8 +249,8 @@
     const bool connected = co_await stream.connect(*endpoint, connect_limit);
     if (!connected)
         co_return false;
-    const mesh::sync_ask ask{tables_.version(), tables_.targets.as_of(),
-                             what.part, address_};
+    const mesh::sync_request ask{tables_.version(), tables_.targets.as_of(),
+                                 what.part, address_};
     const std::string question = framed(mesh::encode(ask));
     const bool sent = co_await stream.write(question);
     if (!sent)
@@ -258,14 +260,14 @@
 }
 
 void news_exchange::note_end(fetching& what, const std::string& address,
-                             fetch_end end)
+                             fetch_result end)
 {
     what.count_of(end).add();
     const int in_vain =
         what.rests.note(address, end, tables_.now(), tables_.random);
     const bool of_no_use =
-        end == fetch_end::failed ||
-        (end == fetch_end::not_newer && in_vain >= most_vain_questions);
+        end == fetch_result::failed ||
+        (end == fetch_result::not_newer && in_vain >= most_vain_questions);
     if (of_no_use)
         named_.erase(address);
 }
@@ -277,78 +279,78 @@
                             catalog::revision(), cause);
 }
 
-fetch_end news_exchange::take_answer(const fetching& what,
-                                     const std::string& bytes,
-                                     const std::string& source)
+fetch_result news_exchange::take_answer(const fetching& what,
+                                        const std::string& bytes,
+                                        const std::string& source)
 {
     auto reply = mesh::decode_sync_reply(bytes);
     if (!reply) {
         note_unreadable(source, reply.error());
-        return fetch_end::failed;
+        return fetch_result::failed;
     }
-    if (reply->left_out > 0)
+    if (reply->invalid_parts > 0)
         note_unreadable(source, {error_code::corrupt, "parts left out"});
     if (what.part == sync_part::targets)
         return take_targets(*reply);
     if (reply->busy) {
         take_named(*reply);
-        return fetch_end::busy;
+        return fetch_result::busy;
     }
     return take_configuration(std::move(*reply), source);
 }
 
-fetch_end news_exchange::take_targets(const mesh::sync_reply& reply)
+fetch_result news_exchange::take_targets(const mesh::sync_reply& reply)
 {
     const catalog::revision known_before = tables_.targets.as_of();
-    const std::uint64_t before = tables_.targets.changes_taken();
+    const std::uint64_t before = tables_.targets.change_count();
     const bool first = !tables_.targets.known();
     if (reply.targets_full)
         tables_.targets.replace_all(reply.targets, reply.targets_as_of);
     else
         tables_.targets.apply(reply.targets, reply.targets_as_of);
     const bool changed = first ? tables_.targets.known()
-                               : tables_.targets.changes_taken() != before;
+                               : tables_.targets.change_count() != before;
     if (changed)
         tables_.list_changed();
     // Those that heard it from the platform tell everybody; if those that
     // heard it from them did so too, each change would cost a message for
     // every pair of nodes.
-    return tables_.targets.as_of() > known_before ? fetch_end::done
-                                                  : fetch_end::not_newer;
+    return tables_.targets.as_of() > known_before ? fetch_result::done
+                                                  : fetch_result::not_newer;
 }
 
-fetch_end news_exchange::take_configuration(mesh::sync_reply reply,
-                                            const std::string& source)
+fetch_result news_exchange::take_configuration(mesh::sync_reply reply,
+                                               const std::string& source)
 {
     std::string text = std::move(reply.configuration);
     if (!reply.packed_configuration.empty()) {
         auto unpacked =
-            mesh::unpack(reply.packed_configuration, largest_answer);
+            mesh::decompress_text(reply.packed_configuration, largest_answer);
         if (!unpacked) {
             note_unreadable(source, unpacked.error());
-            return fetch_end::failed;
+            return fetch_result::failed;
         }
         text = std::move(*unpacked);
     }
     if (text.empty())
-        return fetch_end::not_newer;
+        return fetch_result::not_newer;
     auto parts = adapter::decode_configuration_text(text);
     if (!parts) {
         note_unreadable(source, parts.error());
-        return fetch_end::failed;
+        return fetch_result::failed;
     }
     const bool taken =
         tables_.take_configuration(std::move(*parts), std::move(text), source);
     if (!taken)
-        return fetch_end::not_newer;
+        return fetch_result::not_newer;
     if (!reply.packed_configuration.empty())
         keep_wire_form(std::move(reply.packed_configuration));
-    return fetch_end::done;
+    return fetch_result::done;
 }
 
 void news_exchange::take_named(const mesh::sync_reply& reply)
 {
-    std::size_t left = mesh::most_named;
+    std::size_t left = mesh::max_referrals;
     for (const std::string& it : reply.served) {
         if (left-- == 0 || named_.size() >= most_remembered)
             return;
@@ -381,7 +383,7 @@
     const bool read = co_await stream.read(bytes, largest_question);
     if (!read)
         co_return;
-    const auto ask = mesh::decode_sync_ask(bytes);
+    const auto ask = mesh::decode_sync_request(bytes);
     if (!ask) {
         note_unreadable("a question", ask.error());
         co_return;
@@ -390,7 +392,7 @@
 }
 
 awaitable<void> news_exchange::answer(peer_stream& stream,
-                                      const mesh::sync_ask& ask)
+                                      const mesh::sync_request& ask)
 {
     mesh::sync_reply small;
     if (ask.part != sync_part::configuration)
@@ -418,7 +420,7 @@
 
 awaitable<bool> news_exchange::send_configuration(
     peer_stream& stream, std::shared_ptr<const std::string> bytes,
-    const mesh::sync_ask& ask, mesh::transfer_id slot)
+    const mesh::sync_request& ask, mesh::transfer_id slot)
 {
     if (bytes == nullptr)
         co_return false;
@@ -442,7 +444,7 @@
     while (sent && !bytes.empty()) {
         const std::string_view piece = bytes.substr(0, piece_bytes);
         const duration wait =
-            slots_.wait_before(slot, piece.size(), tables_.now());
+            slots_.pacing_delay(slot, piece.size(), tables_.now());
         if (wait > duration(0)) {
             co_await sleep_on(timer, wait);
             continue;
@@ -453,7 +455,7 @@
     co_return sent;
 }
 
-mesh::sync_reply news_exchange::targets_for(const mesh::sync_ask& ask) const
+mesh::sync_reply news_exchange::targets_for(const mesh::sync_request& ask) const
 {
     mesh::sync_reply out;
     if (!tables_.targets.known())
@@ -482,7 +484,7 @@
 /// The bytes that bring the asker the configuration; null if they can't be
 /// made.
 std::shared_ptr<const std::string>
-news_exchange::wire_form_for(const mesh::sync_ask& ask)
+news_exchange::wire_form_for(const mesh::sync_request& ask)
 {
     if (ask.part == sync_part::both) {
         mesh::sync_reply plain = targets_for(ask);
@@ -491,7 +493,7 @@
     }
     if (wire_form_.bytes != nullptr && wire_form_.version == tables_.version())
         return wire_form_.bytes;
-    auto packed = mesh::pack(tables_.config_text);
+    auto packed = mesh::compress_text(tables_.config_text);
     if (!packed) {
         log_event(event::configuration_unreadable,
                   {{"source", "own"}, {"reason", packed.error().message}});
--- a/libs/edge/news_exchange_test.cpp
+++ b/libs/edge/news_exchange_test.cpp
@@ -2,7 +2,7 @@
 // are slow, silent, or send what can't be read.
 
 #include "fennelladder/edge/news_exchange.hpp"
-#include "fennelladder/mesh/packed_text.hpp"
+#include "fennelladder/mesh/text_compression.hpp"
 #include "fennelladder/telemetry/log.hpp"
 #include "platform/configuration_codec.hpp"
 
@@ -79,9 +79,9 @@
         tables.take_configuration(std::move(*parts), text, "test");
     }
 
-    void hear(const mesh::beacon& from)
+    void hear(const mesh::node_heartbeat& from)
     {
-        tables.nodes.hear(from, tables.now());
+        tables.nodes.on_heartbeat(from, tables.now());
         news.hear(from);
     }
 
@@ -111,7 +111,7 @@
 {
 public:
     using script =
-        std::function<awaitable<void>(tcp::socket&, const mesh::sync_ask&)>;
+        std::function<awaitable<void>(tcp::socket&, const mesh::sync_request&)>;
 
     scripted_peer(asio::io_context& io, script answer)
         : io_(io), answer_(std::move(answer)),
@@ -141,7 +141,7 @@
         peer_stream stream(socket);
         std::string bytes;
         const bool read = co_await stream.read(bytes, 10'000);
-        const auto ask = mesh::decode_sync_ask(bytes);
+        const auto ask = mesh::decode_sync_request(bytes);
         if (read && ask)
             co_await answer_(*socket, *ask);
     }
@@ -177,7 +177,7 @@
 std::string packed_reply(const std::string& text)
 {
     mesh::sync_reply out;
-    out.packed_configuration = *mesh::pack(text);
+    out.packed_configuration = *mesh::compress_text(text);
     return framed(mesh::encode(out));
 }
 
@@ -215,12 +215,13 @@
     }
 
     /// A beacon of one that has this.
-    mesh::beacon beacon_of(const std::string& address, std::uint64_t version,
-                           std::uint64_t targets = 0)
+    mesh::node_heartbeat beacon_of(const std::string& address,
+                                   std::uint64_t version,
+                                   std::uint64_t targets = 0)
     {
-        mesh::beacon out;
+        mesh::node_heartbeat out;
         out.host = host_id("host of " + address);
-        out.life = mesh::node_life(1);
+        out.life = mesh::node_incarnation(1);
         out.sequence = ++sequence_;
         out.state = mesh::node_state::ready;
         out.peer_address = address;
@@ -311,8 +312,9 @@
     world all;
     const std::string text = configuration_text(7, 200);
     bool begun = false;
-    scripted_peer& peer = all.add_peer(
-        [&](tcp::socket& socket, const mesh::sync_ask& ask) -> awaitable<void> {
+    scripted_peer& peer =
+        all.add_peer([&](tcp::socket& socket,
+                         const mesh::sync_request& ask) -> awaitable<void> {
             if (ask.part == sync_part::targets) {
                 co_await put(socket, targets_reply(91));
                 co_return;
@@ -340,7 +342,7 @@
     const std::string text = configuration_text(7, 200);
     int asked = 0;
     scripted_peer& peer = all.add_peer(
-        [&](tcp::socket& socket, const mesh::sync_ask&) -> awaitable<void> {
+        [&](tcp::socket& socket, const mesh::sync_request&) -> awaitable<void> {
             ++asked;
             co_await trickle(socket, packed_reply(text), 16, milliseconds(120));
         });
@@ -355,7 +357,7 @@
 {
     world all;
     scripted_peer& silent = all.add_peer(
-        [&](tcp::socket& socket, const mesh::sync_ask&) -> awaitable<void> {
+        [&](tcp::socket& socket, const mesh::sync_request&) -> awaitable<void> {
             const std::string bytes = packed_reply(configuration_text(7, 50));
             co_await put(socket, bytes.substr(0, 100));
             co_await pause(socket, seconds(30));
@@ -376,7 +378,7 @@
     node& served = all.add_node();
     served.take(configuration_text(7, 50));
     scripted_peer& busy = all.add_peer(
-        [&](tcp::socket& socket, const mesh::sync_ask&) -> awaitable<void> {
+        [&](tcp::socket& socket, const mesh::sync_request&) -> awaitable<void> {
             mesh::sync_reply out;
             out.busy = true;
             out.served = {"nowhere", served.address};
@@ -397,7 +399,8 @@
     mesh::sync_reply not_packed;
     not_packed.packed_configuration = "not packed";
     mesh::sync_reply bomb;
-    bomb.packed_configuration = *mesh::pack(std::string(6'000'000, ' '));
+    bomb.packed_configuration =
+        *mesh::compress_text(std::string(6'000'000, ' '));
     const std::vector<std::string> answers{
         "",
         "\x01",
@@ -412,8 +415,9 @@
     };
     for (const std::string& bytes : answers) {
         world all;
-        scripted_peer& bad = all.add_peer(
-            [&](tcp::socket& socket, const mesh::sync_ask&) -> awaitable<void> {
+        scripted_peer& bad =
+            all.add_peer([&](tcp::socket& socket,
+                             const mesh::sync_request&) -> awaitable<void> {
                 co_await put(socket, bytes);
             });
         node& good = all.add_node();
@@ -464,7 +468,7 @@
         const auto to = *parse_endpoint(served.address);
         const bool connected = co_await stream.connect(to, seconds(1));
         CHECK(connected);
-        const std::string question = framed(mesh::encode(mesh::sync_ask{}));
+        const std::string question = framed(mesh::encode(mesh::sync_request{}));
         const bool sent = co_await stream.write(question);
         CHECK(sent);
         const bool read = co_await stream.read(answer, 4'000'000);
@@ -490,7 +494,7 @@
         const auto to = *parse_endpoint(served.address);
         const bool connected = co_await stream.connect(to, seconds(1));
         CHECK(connected);
-        const std::string question = framed(mesh::encode(mesh::sync_ask{}));
+        const std::string question = framed(mesh::encode(mesh::sync_request{}));
         const bool sent = co_await stream.write(question);
         CHECK(sent);
         const bool read = co_await stream.read(answer, 1'000'000);
@@ -509,7 +513,7 @@
     world all;
     const std::string text = configuration_text(7, 50);
     scripted_peer& earlier = all.add_peer(
-        [&](tcp::socket& socket, const mesh::sync_ask&) -> awaitable<void> {
+        [&](tcp::socket& socket, const mesh::sync_request&) -> awaitable<void> {
             mesh::sync_reply out;
             out.configuration = text;
             co_await put(socket, framed(mesh::encode(out)));
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -142,7 +142,7 @@
 
 duration node_tables::queueing() const
 {
-    return lateness.longest_delay(now()).value_or(duration(0));
+    return lateness.max_delay(now()).value_or(duration(0));
 }
 
 void node_tables::list_changed()
--- a/libs/edge/peer_stream.cpp
+++ b/libs/edge/peer_stream.cpp
@@ -47,7 +47,7 @@
 
 peer_stream::peer_stream(std::shared_ptr<tcp::socket> socket)
     : socket_(std::move(socket)), limit_(socket_),
-      end_(asio::steady_timer::clock_type::now() + mesh::longest_transfer)
+      end_(asio::steady_timer::clock_type::now() + mesh::transfer_timeout)
 {
     net_error ec;
     if (!socket_->is_open())
@@ -60,7 +60,7 @@
 void peer_stream::limit_silence()
 {
     const auto now = asio::steady_timer::clock_type::now();
-    limit_.close_at(std::min(now + mesh::longest_silence, end_));
+    limit_.close_at(std::min(now + mesh::transfer_idle_timeout, end_));
 }
 
 awaitable<bool> peer_stream::connect(tcp::endpoint to, duration limit)
--- a/libs/edge/platform_feed.cpp
+++ b/libs/edge/platform_feed.cpp
@@ -38,24 +38,25 @@
 
 constexpr const char* stale_metric = "fennelladder_news_stale_total";
 
-mesh::news_limits limits_of(const node_tables& tables, mesh::news_size size)
+mesh::staleness_limits limits_of(const node_tables& tables,
+                                 mesh::update_size size)
 {
-    return mesh::news_limits_for(tables.settings.news_bound(), size);
+    return mesh::staleness_limits_for(tables.settings.news_bound(), size);
 }
 
 } // namespace
 
 platform_feed::news_kind::news_kind(const char* name, node_tables& tables,
-                                    mesh::news_limits limits)
+                                    mesh::staleness_limits limits)
     : what(name), duty(limits, tables.random.unit()), pause(tables.io)
 {}
 
 platform_feed::platform_feed(node_tables& tables, platform_client& client,
                              mesh_node& mesh)
     : tables_(tables), client_(client), mesh_(mesh),
-      limits_(limits_of(tables, mesh::news_size::packets)),
+      limits_(limits_of(tables, mesh::update_size::packets)),
       configuration_("configuration", tables,
-                     limits_of(tables, mesh::news_size::bulk)),
+                     limits_of(tables, mesh::update_size::bulk)),
       targets_("targets", tables, limits_),
       evacuations_("evacuations", tables, limits_)
 {}
@@ -95,11 +96,11 @@
 }
 
 /// What the views of all kinds have in common.
-mesh::news_view platform_feed::view_of(const news_kind& kind) const
+mesh::watch_inputs platform_feed::view_of(const news_kind& kind) const
 {
-    mesh::news_view out;
+    mesh::watch_inputs out;
     out.rank = rank(kind, tables_.contact.reached);
-    out.size = tables_.nodes.place_by_size(tables_.capacity(), tables_.now());
+    out.size = tables_.nodes.classify_size(tables_.capacity(), tables_.now());
     return out;
 }
 
@@ -142,10 +143,10 @@
 
 void platform_feed::hold_back(news_kind& kind, mesh::watch_reason reason)
 {
-    kind.duty.failed();
+    kind.duty.record_failure();
     kind.failures = std::min(kind.failures + 1, most_failures);
-    kind.next_try = tables_.now() + mesh::pause_after_failures(
-                                        tables_.random, kind.failures, reason);
+    kind.next_try = tables_.now() +
+                    mesh::retry_delay(tables_.random, kind.failures, reason);
     if (tables_.contact.reached)
         return;
     cut_off_ = true;
@@ -156,7 +157,7 @@
 }
 
 void platform_feed::note_reason(news_kind& kind, mesh::watch_reason reason,
-                                const mesh::news_view& view)
+                                const mesh::watch_inputs& view)
 {
     const bool stale = reason == mesh::watch_reason::stale;
     if (stale == kind.stale)
@@ -217,7 +218,7 @@
                                       call_function list, call_function watch)
 {
     for (;;) {
-        const mesh::news_view view = (this->*look)();
+        const mesh::watch_inputs view = (this->*look)();
         const mesh::watch_reason reason = kind.duty.decide(view);
         note_reason(kind, reason, view);
         kind.reason = reason;
@@ -243,7 +244,7 @@
 {
     // A listing doesn't show that watches work again.
     kind.failures = kind.lost_watches;
-    kind.duty.answered(elapsed, kind.age_before, tables_.random);
+    kind.duty.record_success(elapsed, kind.age_before, tables_.random);
     // Others are about to ask as well; hearing of it spares them the call.
     if (kind.age_before > kind.stale_after)
         tables_.spread_news();
@@ -272,9 +273,8 @@
 {
     failures = std::min(failures + 1, most_failures);
     asio::steady_timer timer(tables_.io);
-    co_await sleep_on(timer,
-                      mesh::pause_after_failures(tables_.random, failures,
-                                                 mesh::watch_reason::none));
+    co_await sleep_on(timer, mesh::retry_delay(tables_.random, failures,
+                                               mesh::watch_reason::none));
 }
 
 void platform_feed::note_unreadable(unreadable_kind kind,
--- a/libs/edge/platform_feed_configuration.cpp
+++ b/libs/edge/platform_feed_configuration.cpp
@@ -69,8 +69,9 @@
 
 awaitable<bool> platform_feed::watch_configuration()
 {
-    std::string target = adapter::watch_target(
-        object_kind::configuration, configuration_as_of_, limits_.watch_wait);
+    std::string target =
+        adapter::watch_target(object_kind::configuration, configuration_as_of_,
+                              limits_.watch_timeout);
     const auto news =
         co_await fetch(call_name::watch_configuration, call_kind::watch, target,
                        adapter::decode_watch);
@@ -84,10 +85,10 @@
     co_return true;
 }
 
-mesh::news_view platform_feed::view_configuration()
+mesh::watch_inputs platform_feed::view_configuration()
 {
     const instant now = tables_.now();
-    mesh::news_view out = view_of(configuration_);
+    mesh::watch_inputs out = view_of(configuration_);
     out.age = tables_.configuration_freshness.age(now);
     if (tables_.configuration_announced)
         out.announced_for = now - *tables_.configuration_announced;
--- a/libs/edge/platform_feed_evacuations.cpp
+++ b/libs/edge/platform_feed_evacuations.cpp
@@ -17,7 +17,7 @@
 bool is_data_center(const adapter::stored_object& object)
 {
     return !object.name.empty() &&
-           object.name.size() <= catalog::longest_target_text;
+           object.name.size() <= catalog::max_target_id_bytes;
 }
 
 } // namespace
@@ -31,7 +31,7 @@
 void platform_feed::take_evacuations(catalog::evacuation_state state,
                                      instant begun)
 {
-    if (state.data_centers.size() > catalog::most_evacuations)
+    if (state.data_centers.size() > catalog::max_evacuations)
         note_unreadable(unreadable_kind::evacuation, {},
                         {error_code::corrupt, "too many"});
     if (tables_.take_evacuations(std::move(state), "platform"))
@@ -65,7 +65,7 @@
     // Another node's word may come meanwhile; the changes follow on this.
     catalog::evacuation_list known = tables_.evacuations;
     std::string target = adapter::watch_target(
-        object_kind::evacuations, known.as_of(), limits_.watch_wait);
+        object_kind::evacuations, known.as_of(), limits_.watch_timeout);
     const auto news =
         co_await fetch(call_name::watch_evacuations, call_kind::watch, target,
                        adapter::decode_watch);
@@ -83,9 +83,9 @@
     co_return true;
 }
 
-mesh::news_view platform_feed::view_evacuations()
+mesh::watch_inputs platform_feed::view_evacuations()
 {
-    mesh::news_view out = view_of(evacuations_);
+    mesh::watch_inputs out = view_of(evacuations_);
     out.age = tables_.evacuations_freshness.age(tables_.now());
     return out;
 }
--- a/libs/edge/platform_feed_fetch.hpp
+++ b/libs/edge/platform_feed_fetch.hpp
@@ -19,7 +19,7 @@
                      result<Answer> (*decode)(const std::string&))
 {
     const duration limit = kind == call_kind::watch
-                               ? limits_.watch_wait + silence_after_wait
+                               ? limits_.watch_timeout + silence_after_wait
                                : list_limit;
     const auto got =
         co_await client_.call(name, http::verb::get, target, "", limit);
--- a/libs/edge/platform_feed_targets.cpp
+++ b/libs/edge/platform_feed_targets.cpp
@@ -105,7 +105,7 @@
 awaitable<bool> platform_feed::watch_targets()
 {
     std::string target = adapter::watch_target(
-        object_kind::targets, tables_.targets.as_of(), limits_.watch_wait);
+        object_kind::targets, tables_.targets.as_of(), limits_.watch_timeout);
     const auto news = co_await fetch(call_name::watch_targets, call_kind::watch,
                                      target, adapter::decode_watch);
     if (!news)
@@ -121,9 +121,9 @@
     co_return true;
 }
 
-mesh::news_view platform_feed::view_targets()
+mesh::watch_inputs platform_feed::view_targets()
 {
-    mesh::news_view out = view_of(targets_);
+    mesh::watch_inputs out = view_of(targets_);
     out.age = tables_.targets_freshness.age(tables_.now());
     return out;
 }
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -342,7 +342,7 @@
             part_of(way_->objective, tables_.options.requests.patience),
             least_patience);
         if (way_->streams)
-            in.gap_limit = part_of(way_->pause_objective,
+            in.gap_limit = part_of(way_->event_gap_objective,
                                    tables_.options.requests.pause_patience);
     }
     const dispatch::work_wish wanted = wish();
--- a/libs/edge/stock_keeper.cpp
+++ b/libs/edge/stock_keeper.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 stock_keeper::stock_keeper(node_tables& tables, platform_client& client,
-                           const mesh::stock_book& peers, hooks hooks)
+                           const mesh::stock_table& peers, hooks hooks)
     : tables_(tables), peers_(peers), hooks_(std::move(hooks)),
       writer_(tables, client,
               [this](const prepaid::token_amounts& granted) { take(granted); }),
@@ -44,7 +44,7 @@
 
 // Who writes.
 
-const mesh::node_row* stock_keeper::writer_elsewhere() const
+const mesh::peer_record* stock_keeper::writer_elsewhere() const
 {
     if (tables_.now() < alone_until_ && is_stockist())
         return nullptr;
@@ -60,7 +60,7 @@
 
 void stock_keeper::note_reach()
 {
-    const mesh::node_row* other = writer_elsewhere();
+    const mesh::peer_record* other = writer_elsewhere();
     reached_ = other != nullptr ? other->last.platform_reached
                                 : tables_.contact.reached;
     outages_.note(reached_, tables_.now());
@@ -185,7 +185,7 @@
     out.fleet_free = own + others.free;
     out.outage = outages_.longest(now);
     out.losses = tables_.losses.at(now);
-    out.stocked = others.free_of_some + (out.stockist ? own : tokens(0));
+    out.stocked = others.free_of_subset + (out.stockist ? own : tokens(0));
     out.fleet_spending = tables_.purse.spending(team, now) +
                          static_cast<double>(others.spent_per_second.count());
     const auto wanted = wanted_.find(team);
@@ -258,7 +258,7 @@
 /// One look at the stock. False when a call to the platform failed.
 awaitable<bool> stock_keeper::tend()
 {
-    const mesh::node_row* other = writer_elsewhere();
+    const mesh::peer_record* other = writer_elsewhere();
     if (other != nullptr && !writer_.in_doubt()) {
         give_up_round();
         ask_writer(other->last.host);
--- a/libs/edge/target_prober.cpp
+++ b/libs/edge/target_prober.cpp
@@ -52,7 +52,7 @@
 bool target_prober::started_again(const catalog::target_process& target) const
 {
     const auto entry = tables_.book.entry_of(target.id);
-    return entry && catalog::is_said(target.start) &&
+    return entry && catalog::is_known(target.start) &&
            entry->start > target.start;
 }
 
--- a/libs/edge/token_desk.cpp
+++ b/libs/edge/token_desk.cpp
@@ -166,7 +166,7 @@
 }
 
 /// Takes out of the purse what a peer may have of what it asks for.
-tokens token_desk::debit(const mesh::token_ask& ask)
+tokens token_desk::debit(const mesh::token_request& ask)
 {
     const tokens free = tables_.purse.free_of(ask.team);
     const tokens spare = free - kept_back(ask.team, ask.urgency);
@@ -199,7 +199,7 @@
 token_desk::record_question
 token_desk::ask_for_more(const team_id& team, tokens missing, int urgency)
 {
-    const mesh::node_row* writer = keeper_.writer_elsewhere();
+    const mesh::peer_record* writer = keeper_.writer_elsewhere();
     if (writer == nullptr)
         return {.round = keeper_.want(team, missing, false)};
     if (!tables_.options.lends_tokens)
@@ -243,7 +243,7 @@
     if (!tables_.options.lends_tokens)
         return std::nullopt;
     const instant since = tables_.now() - tables_.stock_word_lasts();
-    if (auto best = peers_.richest(team, tried, since))
+    if (auto best = peers_.largest_holder(team, tried, since))
         return best;
     // Nobody is known to have any: a stockist may have got some since.
     for (const host_id& it : keeper_.stockists(team))
@@ -260,7 +260,8 @@
 }
 
 /// Asks with the next number; `what` says the rest.
-mesh::transfer_number token_desk::ask(const host_id& peer, mesh::token_ask what)
+mesh::transfer_number token_desk::ask(const host_id& peer,
+                                      mesh::token_request what)
 {
     last_number_ = last_number_.next();
     what.life = tables_.life;
@@ -268,18 +269,18 @@
     asked_[last_number_] = {what.team, peer, tables_.now(), what.patient};
     peers_.deduct(peer, what.team, what.wanted);
     mesh::datagram message;
-    message.ask = std::move(what);
+    message.request = std::move(what);
     send_(address_of(peer), message);
     return last_number_;
 }
 
-void token_desk::on_ask(const mesh::token_ask& ask, const std::string& from)
+void token_desk::on_ask(const mesh::token_request& ask, const std::string& from)
 {
     const transfer_key key{ask.life, ask.number};
     const auto known = answered_.find(key);
     if (known != answered_.end()) {
         mesh::datagram again;
-        again.give = known->second.first;
+        again.grant = known->second.first;
         send_(from, again);
         return;
     }
@@ -323,7 +324,7 @@
 /// need longer to notice.
 void token_desk::note_silent_writer()
 {
-    const mesh::node_row* writer = keeper_.writer_elsewhere();
+    const mesh::peer_record* writer = keeper_.writer_elsewhere();
     if (writer == nullptr)
         return;
     const instant now = tables_.now();
@@ -339,13 +340,13 @@
         keeper_.writer_is_silent();
 }
 
-void token_desk::give(const mesh::token_ask& ask, const std::string& from,
+void token_desk::give(const mesh::token_request& ask, const std::string& from,
                       tokens amount)
 {
     mesh::datagram message;
-    message.give = {ask.life, ask.number, ask.team, amount,
-                    keeper_.allotted_of(ask.team)};
-    answered_[{ask.life, ask.number}] = {*message.give, tables_.now()};
+    message.grant = {ask.life, ask.number, ask.team, amount,
+                     keeper_.allotted_of(ask.team)};
+    answered_[{ask.life, ask.number}] = {*message.grant, tables_.now()};
     send_(from, message);
     if (amount > tokens(0))
         log_event(event::tokens_moved,
@@ -356,7 +357,7 @@
                     std::to_string(tables_.purse.free_of(ask.team).count())}});
 }
 
-void token_desk::on_give(const mesh::token_give& give)
+void token_desk::on_give(const mesh::token_grant& give)
 {
     const auto it = asked_.find(give.number);
     const bool ours = give.life == tables_.life && it != asked_.end() &&
@@ -371,31 +372,31 @@
     changed();
 }
 
-void token_desk::on_gift(const mesh::token_gift& gift, const std::string& from)
+void token_desk::on_gift(const mesh::token_push& push, const std::string& from)
 {
-    const auto key = std::make_pair(gift.life, gift.number);
+    const auto key = std::make_pair(push.life, push.number);
     if (gifts_taken_.emplace(key, tables_.now()).second) {
-        tables_.purse.credit(gift.team, gift.amount);
+        tables_.purse.credit(push.team, push.amount);
         log_event(event::tokens_moved,
-                  {{"team", gift.team.str()},
-                   {"amount", std::to_string(gift.amount.count())},
+                  {{"team", push.team.str()},
+                   {"amount", std::to_string(push.amount.count())},
                    {"from", from}});
         changed();
     }
     mesh::datagram message;
-    message.gift_taken = {gift.life, gift.number};
+    message.push_ack = {push.life, push.number};
     send_(from, message);
 }
 
-void token_desk::on_gift_taken(const mesh::token_gift_taken& taken)
+void token_desk::on_gift_taken(const mesh::token_push_ack& taken)
 {
     if (taken.life == tables_.life)
         gifts_.erase(taken.number);
 }
 
-void token_desk::on_stock(const mesh::beacon& from)
+void token_desk::on_stock(const mesh::node_heartbeat& from)
 {
-    peers_.hear(from, tables_.now());
+    peers_.on_heartbeat(from, tables_.now());
 }
 
 void token_desk::on_death(const host_id& host)
@@ -425,13 +426,13 @@
 }
 
 /// One taker a gift: two could both credit it.
-awaitable<void> token_desk::repeat_gift(mesh::token_gift gift, std::string to,
+awaitable<void> token_desk::repeat_gift(mesh::token_push push, std::string to,
                                         instant until)
 {
     asio::steady_timer timer(tables_.io);
-    while (gifts_.contains(gift.number) && tables_.now() < until) {
+    while (gifts_.contains(push.number) && tables_.now() < until) {
         mesh::datagram message;
-        message.gift = gift;
+        message.push = push;
         send_(to, message);
         co_await sleep_on(timer, gift_repeat);
     }
@@ -450,18 +451,18 @@
         if (taker.empty())
             continue;
         last_number_ = last_number_.next();
-        const mesh::token_gift gift{tables_.life, last_number_, it.team,
+        const mesh::token_push push{tables_.life, last_number_, it.team,
                                     tables_.purse.debit_all(it.team)};
-        gifts_[last_number_] = gift;
-        spawn(tables_.io, repeat_gift(gift, taker, until));
+        gifts_[last_number_] = push;
+        spawn(tables_.io, repeat_gift(push, taker, until));
     }
     asio::steady_timer timer(tables_.io);
     while (!gifts_.empty() && tables_.now() < until)
         co_await sleep_on(timer, gift_repeat / 3);
-    for (const auto& [number, gift] : gifts_)
+    for (const auto& [number, push] : gifts_)
         log_event(event::tokens_stranded,
-                  {{"team", gift.team.str()},
-                   {"amount", std::to_string(gift.amount.count())}});
+                  {{"team", push.team.str()},
+                   {"amount", std::to_string(push.amount.count())}});
 }
 
 void token_desk::forget_old()
--- a/libs/edge/token_desk_test.cpp
+++ b/libs/edge/token_desk_test.cpp
@@ -50,7 +50,7 @@
     void tell_stock()
     {
         for (int from = 0; from < 3; ++from) {
-            mesh::beacon hello;
+            mesh::node_heartbeat hello;
             hello.host = host_id("n" + std::to_string(from));
             hello.life = nodes_[from]->tables.life;
             hello.sequence = ++sequence_;
@@ -59,7 +59,7 @@
             hello.stock = desk(from).own_stock();
             for (int to = 0; to < 3; ++to)
                 if (to != from) {
-                    nodes_[to]->tables.nodes.hear(hello, now());
+                    nodes_[to]->tables.nodes.on_heartbeat(hello, now());
                     desk(to).on_stock(hello);
                 }
         }
@@ -139,14 +139,14 @@
             const auto message = mesh::decode_datagram(it.bytes);
             CHECK(message.has_value());
             token_desk& desk = nodes_[it.to]->desk;
-            if (message->ask)
-                desk.on_ask(*message->ask, address_of(it.from));
-            if (message->give)
-                desk.on_give(*message->give);
-            if (message->gift)
-                desk.on_gift(*message->gift, address_of(it.from));
-            if (message->gift_taken)
-                desk.on_gift_taken(*message->gift_taken);
+            if (message->request)
+                desk.on_ask(*message->request, address_of(it.from));
+            if (message->grant)
+                desk.on_give(*message->grant);
+            if (message->push)
+                desk.on_gift(*message->push, address_of(it.from));
+            if (message->push_ack)
+                desk.on_gift_taken(*message->push_ack);
         }
     }
 
@@ -313,7 +313,7 @@
                         sent.push_back(it);
                     });
     desk.start();
-    desk.on_ask({.life = mesh::node_life(7),
+    desk.on_ask({.life = mesh::node_incarnation(7),
                  .number = mesh::transfer_number(1),
                  .team = team,
                  .wanted = tokens(500),
@@ -321,6 +321,6 @@
                 address_of(1));
     io.run_for(milliseconds(300));
     CHECK_EQUAL(1, sent.size());
-    CHECK(sent[0].give && sent[0].give->amount == tokens(0));
+    CHECK(sent[0].grant && sent[0].grant->amount == tokens(0));
     telemetry::set_log_sink(nullptr);
 }
--- a/libs/mesh/discovery_test.cpp
+++ b/libs/mesh/discovery_test.cpp
@@ -5,7 +5,7 @@
 // nodes that start together miss each other in it.
 
 #include "fennelladder/base/random.hpp"
-#include "fennelladder/mesh/roster.hpp"
+#include "fennelladder/mesh/peer_view.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -28,7 +28,7 @@
     explicit starting_fleet(int n)
     {
         for (int i = 0; i < n; ++i)
-            rosters_.emplace_back(host_id(name(i)), roster_options{});
+            rosters_.emplace_back(host_id(name(i)), peer_view_options{});
     }
 
     void learn(int at, int other) { rosters_[at].add_addresses({name(other)}); }
@@ -38,14 +38,14 @@
         for (const instant end = now_ + length; now_ < end; now_ += tick)
             for (int from = 0; from < size(); ++from)
                 for (const std::string& to : rosters_[from].due(now_))
-                    send(from, to, options().introductions_each);
+                    send(from, to, options().introductions_per_heartbeat);
     }
 
     /// The fewest other nodes that any node takes for alive.
     std::size_t fewest_known() const
     {
         std::size_t out = rosters_.size();
-        for (const mesh::roster& it : rosters_)
+        for (const mesh::peer_view& it : rosters_)
             out = std::min(out, it.alive(now_).size());
         return out;
     }
@@ -55,17 +55,17 @@
 private:
     static std::string name(int i) { return "n" + std::to_string(i); }
 
-    const roster_options& options() const { return rosters_[0].options(); }
+    const peer_view_options& options() const { return rosters_[0].options(); }
 
-    beacon beacon_of(int i, std::size_t introductions)
+    node_heartbeat beacon_of(int i, std::size_t introductions)
     {
-        beacon out;
+        node_heartbeat out;
         out.host = host_id(name(i));
-        out.life = node_life(static_cast<std::uint64_t>(i) + 1);
+        out.life = node_incarnation(static_cast<std::uint64_t>(i) + 1);
         out.sequence = ++sequence_;
         out.state = node_state::ready;
         out.peer_address = name(i);
-        out.heard = rosters_[i].heard_lately(now_);
+        out.heard = rosters_[i].recent_peers(now_);
         out.introduced = rosters_[i].introductions(introductions, now_);
         return out;
     }
@@ -76,16 +76,16 @@
         const int at = std::stoi(to.substr(1));
         if (random_.below(50) == 0)
             return;
-        const beacon hello = beacon_of(from, introductions);
-        const bool is_new = rosters_[at].hear(hello, now_).new_node;
-        std::vector<std::string> others = hello.introduced;
+        const node_heartbeat message = beacon_of(from, introductions);
+        const bool is_new = rosters_[at].on_heartbeat(message, now_).new_node;
+        std::vector<std::string> others = message.introduced;
         std::erase(others, name(at));
         rosters_[at].add_addresses(others);
         if (is_new)
             send(at, name(from), options().introductions);
     }
 
-    std::vector<mesh::roster> rosters_;
+    std::vector<mesh::peer_view> rosters_;
     std::uint64_t sequence_ = 0;
     random_source random_{11};
     instant now_ = start;
--- a/libs/mesh/messages.cpp
+++ b/libs/mesh/messages.cpp
@@ -46,9 +46,9 @@
     out.slots = static_cast<std::int32_t>(from.entry->slots);
     out.leaving = from.entry->leaving;
     out.warm_up_ms =
-        std::chrono::duration_cast<milliseconds>(from.entry->warm_up_left)
+        std::chrono::duration_cast<milliseconds>(from.entry->remaining_warm_up)
             .count();
-    if (catalog::is_said(from.entry->start))
+    if (catalog::is_known(from.entry->start))
         out.__set_start_ms(number(from.entry->start.value()));
     return out;
 }
@@ -65,10 +65,9 @@
     entry.leaving = from.leaving;
     // Clamped, since more milliseconds than fit would overflow.
     constexpr std::int64_t too_long =
-        std::chrono::duration_cast<milliseconds>(catalog::longest_warm_up)
-            .count() +
+        std::chrono::duration_cast<milliseconds>(catalog::max_warm_up).count() +
         1;
-    entry.warm_up_left =
+    entry.remaining_warm_up =
         milliseconds(std::clamp(from.warm_up_ms, std::int64_t(-1), too_long));
     entry.start = start_of(from.start_ms);
     return entry;
@@ -76,7 +75,7 @@
 
 bool is_id(const std::string& text)
 {
-    return !text.empty() && text.size() <= longest_text;
+    return !text.empty() && text.size() <= max_id_bytes;
 }
 
 /// Rows without an id name nothing and are left out. A row whose entry can't
@@ -84,13 +83,13 @@
 /// would leave an older entry in force.
 std::vector<catalog::target_change>
 changes_from(const std::vector<wire::TargetRow>& rows, catalog::revision as_of,
-             std::size_t& left_out)
+             std::size_t& invalid_parts)
 {
     std::vector<catalog::target_change> out;
     out.reserve(rows.size());
     for (const wire::TargetRow& it : rows) {
         if (!is_id(it.id)) {
-            ++left_out;
+            ++invalid_parts;
             continue;
         }
         const bool dated = it.changed_at >= 0;
@@ -100,7 +99,7 @@
             change.entry = entry_of(it);
             if (!dated || !catalog::check_target(*change.entry)) {
                 change.entry.reset();
-                ++left_out;
+                ++invalid_parts;
             }
         }
         out.push_back(std::move(change));
@@ -108,7 +107,7 @@
     return out;
 }
 
-wire::TargetNews to_wire(const catalog::target_news& from)
+wire::TargetNews to_wire(const catalog::target_update& from)
 {
     wire::TargetNews out;
     out.since = number(from.since.value());
@@ -118,18 +117,19 @@
     return out;
 }
 
-std::optional<catalog::target_news> from_wire(const wire::TargetNews& from,
-                                              std::size_t& left_out)
+std::optional<catalog::target_update> from_wire(const wire::TargetNews& from,
+                                                std::size_t& invalid_parts)
 {
     // News of which a part is left out would be taken for complete.
-    if (from.since < 0 || from.as_of < 0 || from.changes.size() > most_rows) {
-        ++left_out;
+    if (from.since < 0 || from.as_of < 0 ||
+        from.changes.size() > max_heartbeat_rows) {
+        ++invalid_parts;
         return std::nullopt;
     }
-    catalog::target_news out;
+    catalog::target_update out;
     out.since = id_of<catalog::revision>(from.since);
     out.as_of = id_of<catalog::revision>(from.as_of);
-    out.changes = changes_from(from.changes, out.as_of, left_out);
+    out.changes = changes_from(from.changes, out.as_of, invalid_parts);
     return out;
 }
 
@@ -141,7 +141,7 @@
     for (const catalog::target_process& it : from.deaths) {
         out.deaths.push_back(it.id.str());
         out.starts_ms.push_back(number(it.start.value()));
-        out.__isset.starts_ms |= catalog::is_said(it.start);
+        out.__isset.starts_ms |= catalog::is_known(it.start);
     }
     return out;
 }
@@ -170,14 +170,14 @@
 
 /// A state of which a part is left out would end evacuations.
 std::optional<catalog::evacuation_state>
-from_wire(const wire::Evacuations& from, std::size_t& left_out)
+from_wire(const wire::Evacuations& from, std::size_t& invalid_parts)
 {
     const bool is_whole =
         from.as_of > 0 &&
-        from.data_centers.size() <= catalog::most_evacuations &&
+        from.data_centers.size() <= catalog::max_evacuations &&
         std::ranges::all_of(from.data_centers, is_id);
     if (!is_whole) {
-        ++left_out;
+        ++invalid_parts;
         return std::nullopt;
     }
     catalog::evacuation_state out;
@@ -240,7 +240,7 @@
     return out;
 }
 
-wire::Beacon to_wire(const beacon& from)
+wire::Beacon to_wire(const node_heartbeat& from)
 {
     wire::Beacon out;
     out.host = from.host.str();
@@ -263,12 +263,12 @@
         out.__set_evacuations(to_wire(*from.evacuations));
     if (from.evacuations_age)
         out.__set_evacuations_age_ms(age_to_wire(*from.evacuations_age));
-    if (from.up_for)
-        out.__set_up_ms(age_to_wire(*from.up_for));
+    if (from.uptime)
+        out.__set_up_ms(age_to_wire(*from.uptime));
     if (from.fleets_lost)
         out.__set_fleets_lost(*from.fleets_lost);
-    if (from.target_news)
-        out.__set_target_news(to_wire(*from.target_news));
+    if (from.target_update)
+        out.__set_target_news(to_wire(*from.target_update));
     out.__set_is_brief(from.is_brief);
     out.__set_targets_as_of(number(from.targets_as_of.value()));
     if (from.sent)
@@ -278,7 +278,7 @@
         load.target = it.target.str();
         load.running = static_cast<std::int32_t>(it.running);
         load.reading = static_cast<std::int32_t>(it.reading);
-        if (catalog::is_said(it.start))
+        if (catalog::is_known(it.start))
             load.__set_start_ms(number(it.start.value()));
         out.load.push_back(std::move(load));
     }
@@ -302,7 +302,7 @@
     out.__isset.poison = !out.poison.empty();
     out.introduced = from.introduced;
     out.__isset.introduced = !out.introduced.empty();
-    for (const heard_node& it : from.heard) {
+    for (const recent_peer& it : from.heard) {
         wire::HeardNode heard;
         heard.life = number(it.life.value());
         heard.ago_ms = age_to_wire(it.ago);
@@ -319,13 +319,13 @@
 {
     return is_id(from.host) && is_ip_and_port(from.peer_address) &&
            from.configuration >= 0 && from.targets_changed >= 0 &&
-           from.sequence >= 0 && from.data_center.size() <= longest_text;
+           from.sequence >= 0 && from.data_center.size() <= max_id_bytes;
 }
 
 /// A rate that isn't a number has no place in an order of nodes.
 double rate_of(double value)
 {
-    return std::isfinite(value) ? std::clamp(value, 0.0, most_requests) : 0;
+    return std::isfinite(value) ? std::clamp(value, 0.0, max_request_rate) : 0;
 }
 
 /// As much of a list as a beacon may have. What comes of a row is looked up
@@ -333,20 +333,20 @@
 /// that a peer makes as long as a datagram holds.
 template <class Row>
 std::span<const Row> first_rows(const std::vector<Row>& all,
-                                std::size_t& left_out)
+                                std::size_t& invalid_parts)
 {
-    const std::size_t n = std::min(all.size(), most_rows);
-    left_out += all.size() - n;
+    const std::size_t n = std::min(all.size(), max_heartbeat_rows);
+    invalid_parts += all.size() - n;
     return std::span(all).first(n);
 }
 
 std::vector<dispatch::target_load>
-loads_from(const std::vector<wire::Load>& all, std::size_t& left_out)
+loads_from(const std::vector<wire::Load>& all, std::size_t& invalid_parts)
 {
     std::vector<dispatch::target_load> out;
-    for (const wire::Load& it : first_rows(all, left_out)) {
+    for (const wire::Load& it : first_rows(all, invalid_parts)) {
         if (!is_id(it.target) || it.running < 0 || it.reading < 0) {
-            ++left_out;
+            ++invalid_parts;
             continue;
         }
         out.push_back(
@@ -365,12 +365,12 @@
 }
 
 std::vector<dispatch::limit_word>
-limits_from(const std::vector<wire::Limit>& all, std::size_t& left_out)
+limits_from(const std::vector<wire::Limit>& all, std::size_t& invalid_parts)
 {
     std::vector<dispatch::limit_word> out;
-    for (const wire::Limit& it : first_rows(all, left_out)) {
+    for (const wire::Limit& it : first_rows(all, invalid_parts)) {
         if (!is_limit(it)) {
-            ++left_out;
+            ++invalid_parts;
             continue;
         }
         dispatch::limit_word word{target_id(it.target), start_of(it.start_ms),
@@ -383,31 +383,32 @@
 }
 
 std::vector<catalog::target_process>
-leaving_from(const std::vector<wire::LeavingTarget>& all, std::size_t& left_out)
+leaving_from(const std::vector<wire::LeavingTarget>& all,
+             std::size_t& invalid_parts)
 {
     std::vector<catalog::target_process> out;
-    for (const wire::LeavingTarget& it : first_rows(all, left_out)) {
+    for (const wire::LeavingTarget& it : first_rows(all, invalid_parts)) {
         if (is_id(it.target))
             out.push_back({target_id(it.target), start_of(it.start_ms)});
         else
-            ++left_out;
+            ++invalid_parts;
     }
     return out;
 }
 
 bool is_amount(std::int64_t count)
 {
-    return count >= 0 && tokens(count) <= most_tokens;
+    return count >= 0 && tokens(count) <= max_token_amount;
 }
 
 std::vector<token_stock> stock_from(const std::vector<wire::Stock>& all,
-                                    std::size_t& left_out)
+                                    std::size_t& invalid_parts)
 {
     std::vector<token_stock> out;
-    for (const wire::Stock& it : first_rows(all, left_out)) {
+    for (const wire::Stock& it : first_rows(all, invalid_parts)) {
         if (!is_id(it.team) || !is_amount(it.free) ||
             !is_amount(it.spent_per_second)) {
-            ++left_out;
+            ++invalid_parts;
             continue;
         }
         out.push_back(
@@ -417,42 +418,43 @@
 }
 
 std::vector<dispatch::poison_record>
-poison_from(const std::vector<wire::Poison>& all, std::size_t& left_out)
+poison_from(const std::vector<wire::Poison>& all, std::size_t& invalid_parts)
 {
     std::vector<dispatch::poison_record> out;
-    for (const wire::Poison& it : first_rows(all, left_out)) {
+    for (const wire::Poison& it : first_rows(all, invalid_parts)) {
         if (it.deaths.empty() || !std::ranges::all_of(it.deaths, is_id)) {
-            ++left_out;
+            ++invalid_parts;
             continue;
         }
         dispatch::poison_record record = from_wire(it);
-        left_out +=
-            record.deaths.size() - std::min(record.deaths.size(), most_rows);
-        record.deaths.resize(std::min(record.deaths.size(), most_rows));
+        invalid_parts += record.deaths.size() -
+                         std::min(record.deaths.size(), max_heartbeat_rows);
+        record.deaths.resize(
+            std::min(record.deaths.size(), max_heartbeat_rows));
         out.push_back(std::move(record));
     }
     return out;
 }
 
 std::vector<std::string> addresses_from(const std::vector<std::string>& all,
-                                        std::size_t& left_out)
+                                        std::size_t& invalid_parts)
 {
     std::vector<std::string> out;
-    for (const std::string& it : first_rows(all, left_out)) {
+    for (const std::string& it : first_rows(all, invalid_parts)) {
         if (is_ip_and_port(it))
             out.push_back(it);
         else
-            ++left_out;
+            ++invalid_parts;
     }
     return out;
 }
 
 /// Precondition: is_proper().
-beacon from_wire(const wire::Beacon& from, std::size_t& left_out)
+node_heartbeat from_wire(const wire::Beacon& from, std::size_t& invalid_parts)
 {
-    beacon out;
+    node_heartbeat out;
     out.host = host_id(from.host);
-    out.life = id_of<node_life>(from.life);
+    out.life = id_of<node_incarnation>(from.life);
     out.sequence = static_cast<std::uint64_t>(from.sequence);
     // A state of a later release counts as one that takes no callers.
     const bool known =
@@ -475,27 +477,27 @@
         age_of(from.__isset.configuration_age_ms, from.configuration_age_ms);
     out.targets_age = age_of(from.__isset.targets_age_ms, from.targets_age_ms);
     if (from.__isset.evacuations)
-        out.evacuations = from_wire(from.evacuations, left_out);
+        out.evacuations = from_wire(from.evacuations, invalid_parts);
     out.evacuations_age =
         age_of(from.__isset.evacuations_age_ms, from.evacuations_age_ms);
-    out.up_for = age_of(from.__isset.up_ms, from.up_ms);
+    out.uptime = age_of(from.__isset.up_ms, from.up_ms);
     if (from.__isset.fleets_lost && from.fleets_lost >= 0)
-        out.fleets_lost = std::min(from.fleets_lost, most_fleets_lost);
+        out.fleets_lost = std::min(from.fleets_lost, max_fleets_lost);
     if (from.__isset.target_news)
-        out.target_news = from_wire(from.target_news, left_out);
+        out.target_update = from_wire(from.target_news, invalid_parts);
     out.is_brief = from.__isset.is_brief && from.is_brief;
     out.targets_as_of = id_of<catalog::revision>(
         from.__isset.targets_as_of ? from.targets_as_of : from.targets_changed);
     out.sent = instant_of(from.__isset.sent_ms, from.sent_ms);
-    out.load = loads_from(from.load, left_out);
-    out.stock = stock_from(from.stock, left_out);
-    out.limits = limits_from(from.limits, left_out);
-    out.leaving = leaving_from(from.leaving, left_out);
-    out.poison = poison_from(from.poison, left_out);
-    out.introduced = addresses_from(from.introduced, left_out);
-    for (const wire::HeardNode& it : first_rows(from.heard, left_out))
+    out.load = loads_from(from.load, invalid_parts);
+    out.stock = stock_from(from.stock, invalid_parts);
+    out.limits = limits_from(from.limits, invalid_parts);
+    out.leaving = leaving_from(from.leaving, invalid_parts);
+    out.poison = poison_from(from.poison, invalid_parts);
+    out.introduced = addresses_from(from.introduced, invalid_parts);
+    for (const wire::HeardNode& it : first_rows(from.heard, invalid_parts))
         if (const auto ago = age_of(true, it.ago_ms))
-            out.heard.push_back({id_of<node_life>(it.life), *ago});
+            out.heard.push_back({id_of<node_incarnation>(it.life), *ago});
     return out;
 }
 
@@ -526,7 +528,7 @@
 Message transfer_from_wire(const Wire& from)
 {
     Message out;
-    out.life = id_of<node_life>(from.life);
+    out.life = id_of<node_incarnation>(from.life);
     out.number = id_of<transfer_number>(from.number);
     if constexpr (requires { out.team; })
         out.team = team_id(from.team);
@@ -547,17 +549,17 @@
 /// Amounts that can't be: from another release, or no message of ours.
 bool has_wrong_amount(const datagram& it)
 {
-    return (it.ask && !is_amount(it.ask->wanted.count())) ||
-           (it.give && !is_amount(it.give->amount.count())) ||
-           (it.gift && !is_amount(it.gift->amount.count()));
+    return (it.request && !is_amount(it.request->wanted.count())) ||
+           (it.grant && !is_amount(it.grant->amount.count())) ||
+           (it.push && !is_amount(it.push->amount.count()));
 }
 
 /// Tokens of a team without a name are nobody's.
 bool has_nameless_team(const datagram& it)
 {
-    return (it.ask && !is_id(it.ask->team.str())) ||
-           (it.give && !is_id(it.give->team.str())) ||
-           (it.gift && !is_id(it.gift->team.str()));
+    return (it.request && !is_id(it.request->team.str())) ||
+           (it.grant && !is_id(it.grant->team.str())) ||
+           (it.push && !is_id(it.push->team.str()));
 }
 
 /// A part of a later release isn't known here; both hold it if anything does.
@@ -573,21 +575,21 @@
 std::string encode(const datagram& message)
 {
     wire::Datagram out;
-    if (message.hello)
-        out.__set_beacon(to_wire(*message.hello));
-    if (message.ask)
-        out.__set_ask(transfer_to_wire<wire::TokenAsk>(*message.ask));
-    if (message.give)
-        out.__set_give(transfer_to_wire<wire::TokenGive>(*message.give));
-    if (message.gift)
-        out.__set_gift(transfer_to_wire<wire::TokenGift>(*message.gift));
-    if (message.gift_taken)
+    if (message.heartbeat)
+        out.__set_beacon(to_wire(*message.heartbeat));
+    if (message.request)
+        out.__set_ask(transfer_to_wire<wire::TokenAsk>(*message.request));
+    if (message.grant)
+        out.__set_give(transfer_to_wire<wire::TokenGive>(*message.grant));
+    if (message.push)
+        out.__set_gift(transfer_to_wire<wire::TokenGift>(*message.push));
+    if (message.push_ack)
         out.__set_gift_taken(
-            transfer_to_wire<wire::TokenGiftTaken>(*message.gift_taken));
+            transfer_to_wire<wire::TokenGiftTaken>(*message.push_ack));
     return to_bytes(out);
 }
 
-std::string encode(const sync_ask& message)
+std::string encode(const sync_request& message)
 {
     wire::SyncAsk out;
     out.configuration = number(message.configuration.value());
@@ -620,22 +622,22 @@
 
 result<datagram> decode_datagram(std::string_view bytes)
 {
-    auto read = from_bytes<wire::Datagram>(bytes, most_elements);
+    auto read = from_bytes<wire::Datagram>(bytes, max_list_elements);
     if (!read)
         return tl::unexpected(read.error());
     if (read->__isset.beacon && !is_proper(read->beacon))
         return fail(error_code::corrupt, "beacon of nobody, or from nowhere");
     datagram out;
     if (read->__isset.beacon)
-        out.hello = from_wire(read->beacon, out.left_out);
+        out.heartbeat = from_wire(read->beacon, out.invalid_parts);
     if (read->__isset.ask)
-        out.ask = transfer_from_wire<token_ask>(read->ask);
+        out.request = transfer_from_wire<token_request>(read->ask);
     if (read->__isset.give)
-        out.give = transfer_from_wire<token_give>(read->give);
+        out.grant = transfer_from_wire<token_grant>(read->give);
     if (read->__isset.gift)
-        out.gift = transfer_from_wire<token_gift>(read->gift);
+        out.push = transfer_from_wire<token_push>(read->gift);
     if (read->__isset.gift_taken)
-        out.gift_taken = transfer_from_wire<token_gift_taken>(read->gift_taken);
+        out.push_ack = transfer_from_wire<token_push_ack>(read->gift_taken);
     if (has_wrong_amount(out))
         return fail(error_code::corrupt, "no amount of tokens");
     if (has_nameless_team(out))
@@ -643,21 +645,22 @@
     return out;
 }
 
-result<sync_ask> decode_sync_ask(std::string_view bytes)
+result<sync_request> decode_sync_request(std::string_view bytes)
 {
-    auto read = from_bytes<wire::SyncAsk>(bytes, most_elements);
+    auto read = from_bytes<wire::SyncAsk>(bytes, max_list_elements);
     if (!read)
         return tl::unexpected(read.error());
     if (read->configuration < 0 || read->targets_as_of < 0)
         return fail(error_code::corrupt, "question with numbers below 0");
-    return sync_ask{id_of<catalog::configuration_version>(read->configuration),
-                    id_of<catalog::revision>(read->targets_as_of),
-                    part_of(read->part), read->peer_address};
+    return sync_request{
+        id_of<catalog::configuration_version>(read->configuration),
+        id_of<catalog::revision>(read->targets_as_of), part_of(read->part),
+        read->peer_address};
 }
 
 result<sync_reply> decode_sync_reply(std::string_view bytes)
 {
-    auto read = from_bytes<wire::SyncReply>(bytes, most_elements);
+    auto read = from_bytes<wire::SyncReply>(bytes, max_list_elements);
     if (!read)
         return tl::unexpected(read.error());
     if (read->targets_as_of < 0 || read->served_configuration < 0)
@@ -666,10 +669,11 @@
     out.configuration = std::move(read->configuration);
     out.targets_as_of = id_of<catalog::revision>(read->targets_as_of);
     out.targets_full = read->targets_full;
-    out.targets = changes_from(read->targets, out.targets_as_of, out.left_out);
+    out.targets =
+        changes_from(read->targets, out.targets_as_of, out.invalid_parts);
     out.packed_configuration = std::move(read->packed_configuration);
     out.busy = read->__isset.busy && read->busy;
-    out.served = addresses_from(read->served, out.left_out);
+    out.served = addresses_from(read->served, out.invalid_parts);
     out.served_configuration =
         id_of<catalog::configuration_version>(read->served_configuration);
     return out;
--- a/libs/mesh/messages_test.cpp
+++ b/libs/mesh/messages_test.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-beacon sample()
+node_heartbeat sample()
 {
-    beacon out;
+    node_heartbeat out;
     out.host = host_id("austin-1");
-    out.life = node_life(77);
+    out.life = node_incarnation(77);
     out.sequence = 5;
     out.state = node_state::ready;
     out.data_center = data_center_id("austin");
@@ -31,7 +31,7 @@
     leaving.service = service_id("s");
     leaving.address = "10.0.0.9:80";
     leaving.leaving = true;
-    out.target_news = {
+    out.target_update = {
         catalog::revision(10),
         catalog::revision(12),
         {{leaving.id, leaving, catalog::revision(11)},
@@ -47,7 +47,7 @@
     out.evacuations = {{data_center_id("austin"), data_center_id("houston")},
                        catalog::revision(13)};
     out.evacuations_age = milliseconds(80);
-    out.up_for = seconds(70);
+    out.uptime = seconds(70);
     out.fleets_lost = 0.25;
     out.limits = {
         {target_id("i-1"), catalog::target_start(42), 1.3, milliseconds(500)},
@@ -55,7 +55,7 @@
     out.leaving = {{target_id("i-3"), catalog::target_start(43)},
                    {target_id("i-4"), {}}};
     out.is_brief = true;
-    out.heard = {{node_life(78), milliseconds(40)}};
+    out.heard = {{node_incarnation(78), milliseconds(40)}};
     return out;
 }
 
@@ -80,8 +80,8 @@
         [](target_entry& it) { it.address = "10.0.0.9:0"; },
         [](target_entry& it) { it.slots = 0; },
         [](target_entry& it) { it.slots = 0xffffffff; },
-        [](target_entry& it) { it.warm_up_left = seconds(-1); },
-        [](target_entry& it) { it.warm_up_left = hours(24 * 365 * 200); }};
+        [](target_entry& it) { it.remaining_warm_up = seconds(-1); },
+        [](target_entry& it) { it.remaining_warm_up = hours(24 * 365 * 200); }};
     std::vector<catalog::target_change> out;
     for (const auto& spoil : faults) {
         out.push_back(usable(("x" + std::to_string(out.size())).c_str(), 11));
@@ -114,23 +114,23 @@
 TEST(mesh_messages, a_beacon_survives_its_spelling)
 {
     datagram message;
-    message.hello = sample();
+    message.heartbeat = sample();
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello && !got->ask);
-    const beacon& it = *got->hello;
+    CHECK(got && got->heartbeat && !got->request);
+    const node_heartbeat& it = *got->heartbeat;
     CHECK(it.host == host_id("austin-1"));
-    CHECK(it.life == node_life(77));
+    CHECK(it.life == node_incarnation(77));
     CHECK(it.state == node_state::ready);
     CHECK(it.configuration == catalog::configuration_version(9));
     CHECK(it.configuration_age == milliseconds(250));
     CHECK(!it.targets_age);
-    CHECK(it.target_news->since == catalog::revision(10));
-    CHECK(it.target_news->as_of == catalog::revision(12));
-    CHECK(it.target_news->changes.at(0).entry->leaving);
-    CHECK(!it.target_news->changes.at(1).entry);
+    CHECK(it.target_update->since == catalog::revision(10));
+    CHECK(it.target_update->as_of == catalog::revision(12));
+    CHECK(it.target_update->changes.at(0).entry->leaving);
+    CHECK(!it.target_update->changes.at(1).entry);
     CHECK(it.evacuations == sample().evacuations);
     CHECK(it.evacuations_age == milliseconds(80));
-    CHECK(it.up_for == seconds(70));
+    CHECK(it.uptime == seconds(70));
     DOUBLES_EQUAL(0.25, *it.fleets_lost, 1e-9);
     UNSIGNED_LONGS_EQUAL(2, it.limits.size());
     CHECK(it.limits.at(0).target == target_id("i-1"));
@@ -141,7 +141,7 @@
     CHECK(it.leaving == sample().leaving);
     CHECK(it.is_brief);
     CHECK(it.targets_as_of == catalog::revision(14));
-    CHECK(it.heard.at(0).life == node_life(78));
+    CHECK(it.heard.at(0).life == node_incarnation(78));
     CHECK(it.heard.at(0).ago == milliseconds(40));
     CHECK(it.load.at(0).reading == 400);
     CHECK(it.stock.at(0).spent_per_second == tokens(20));
@@ -160,17 +160,17 @@
          [](auto& it) { it.data_centers.emplace_back(""); },
          [](auto& it) { it.data_centers.emplace_back(std::string(300, 'x')); },
          [](auto& it) {
-             it.data_centers.resize(catalog::most_evacuations + 1,
+             it.data_centers.resize(catalog::max_evacuations + 1,
                                     data_center_id("d"));
          }};
     for (const auto& spoil : faults) {
         datagram message;
-        message.hello = sample();
-        spoil(*message.hello->evacuations);
+        message.heartbeat = sample();
+        spoil(*message.heartbeat->evacuations);
         const auto got = decode_datagram(encode(message));
-        CHECK(got && got->hello);
-        CHECK(!got->hello->evacuations);
-        CHECK(got->left_out > 0);
+        CHECK(got && got->heartbeat);
+        CHECK(!got->heartbeat->evacuations);
+        CHECK(got->invalid_parts > 0);
     }
 }
 
@@ -180,35 +180,36 @@
 TEST(mesh_messages, a_start_below_0_is_none)
 {
     datagram message;
-    message.hello = sample();
+    message.heartbeat = sample();
     const catalog::target_start below(~std::uint64_t(0));
-    message.hello->load.at(0).start = below;
-    message.hello->target_news->changes.at(0).entry->start = below;
-    message.hello->poison.at(0).deaths.at(0).start = below;
+    message.heartbeat->load.at(0).start = below;
+    message.heartbeat->target_update->changes.at(0).entry->start = below;
+    message.heartbeat->poison.at(0).deaths.at(0).start = below;
     const auto got = decode_datagram(encode(message));
-    CHECK(!is_said(got->hello->load.at(0).start));
-    CHECK(!is_said(got->hello->target_news->changes.at(0).entry->start));
-    CHECK(!is_said(got->hello->poison.at(0).deaths.at(0).start));
+    CHECK(!is_known(got->heartbeat->load.at(0).start));
+    CHECK(!is_known(got->heartbeat->target_update->changes.at(0).entry->start));
+    CHECK(!is_known(got->heartbeat->poison.at(0).deaths.at(0).start));
 }
 
 TEST(mesh_messages, transfers_survive_their_spelling)
 {
     datagram message;
-    message.ask = {node_life(1), transfer_number(2), team_id("t"), tokens(300)};
-    message.give = {node_life(1), transfer_number(2), team_id("t"),
-                    tokens(250)};
+    message.request = {node_incarnation(1), transfer_number(2), team_id("t"),
+                       tokens(300)};
+    message.grant = {node_incarnation(1), transfer_number(2), team_id("t"),
+                     tokens(250)};
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->ask && got->give);
-    CHECK(got->ask->wanted == tokens(300));
-    CHECK(got->give->amount == tokens(250));
+    CHECK(got && got->request && got->grant);
+    CHECK(got->request->wanted == tokens(300));
+    CHECK(got->grant->amount == tokens(250));
 }
 
 // A negative amount would make tokens at one of the two ends.
 TEST(mesh_messages, a_negative_amount_is_no_message)
 {
     datagram message;
-    message.give = {node_life(1), transfer_number(2), team_id("t"),
-                    tokens(-250)};
+    message.grant = {node_incarnation(1), transfer_number(2), team_id("t"),
+                     tokens(-250)};
     CHECK(!decode_datagram(encode(message)));
 }
 
@@ -236,7 +237,7 @@
 TEST(mesh_messages, damaged_bytes_end_nothing)
 {
     datagram message;
-    message.hello = sample();
+    message.heartbeat = sample();
     const std::string good = encode(message);
     random_source random(3);
     for (int i = 0; i < 3000; ++i) {
@@ -245,7 +246,7 @@
             bytes[random.below(bytes.size())] =
                 static_cast<char>(random.below(256));
         (void)decode_datagram(bytes);
-        (void)decode_sync_ask(bytes);
+        (void)decode_sync_request(bytes);
         (void)decode_sync_reply(bytes);
     }
 }
@@ -254,9 +255,9 @@
 {
     for (const sync_part part :
          {sync_part::both, sync_part::targets, sync_part::configuration}) {
-        const auto got = decode_sync_ask(
-            encode(sync_ask{catalog::configuration_version(7),
-                            catalog::revision(90), part, "10.0.0.1:7000"}));
+        const auto got = decode_sync_request(
+            encode(sync_request{catalog::configuration_version(7),
+                                catalog::revision(90), part, "10.0.0.1:7000"}));
         CHECK(got.has_value());
         CHECK(got->configuration == catalog::configuration_version(7));
         CHECK(got->targets_as_of == catalog::revision(90));
@@ -292,15 +293,15 @@
 TEST(mesh_messages, cut_short_is_no_message)
 {
     const std::string ask = encode(
-        sync_ask{catalog::configuration_version(7), catalog::revision(90),
-                 sync_part::targets, "10.0.0.1:7000"});
+        sync_request{catalog::configuration_version(7), catalog::revision(90),
+                     sync_part::targets, "10.0.0.1:7000"});
     sync_reply busy;
     busy.busy = true;
     busy.served = {"10.0.0.2:7000"};
     busy.packed_configuration = "packed";
     const std::string reply = encode(busy);
     for (std::size_t n = 0; n < ask.size(); ++n)
-        CHECK(!decode_sync_ask(ask.substr(0, n)));
+        CHECK(!decode_sync_request(ask.substr(0, n)));
     for (std::size_t n = 0; n < reply.size(); ++n)
         CHECK(!decode_sync_reply(reply.substr(0, n)));
 }
@@ -311,68 +312,70 @@
 TEST(mesh_messages, a_target_that_cannot_be_is_told_as_gone)
 {
     datagram message;
-    message.hello = sample();
-    message.hello->target_news->changes = between_usable();
+    message.heartbeat = sample();
+    message.heartbeat->target_update->changes = between_usable();
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello && got->hello->target_news);
-    check_between_usable(got->hello->target_news->changes);
-    UNSIGNED_LONGS_EQUAL(senseless().size(), got->left_out);
+    CHECK(got && got->heartbeat && got->heartbeat->target_update);
+    check_between_usable(got->heartbeat->target_update->changes);
+    UNSIGNED_LONGS_EQUAL(senseless().size(), got->invalid_parts);
     sync_reply reply;
     reply.targets_as_of = catalog::revision(20);
     reply.targets = between_usable();
     const auto listed = decode_sync_reply(encode(reply));
     CHECK(listed.has_value());
     check_between_usable(listed->targets);
-    UNSIGNED_LONGS_EQUAL(senseless().size(), listed->left_out);
+    UNSIGNED_LONGS_EQUAL(senseless().size(), listed->invalid_parts);
 }
 
 TEST(mesh_messages, a_row_of_nothing_is_left_out)
 {
     datagram message;
-    message.hello = sample();
-    message.hello->target_news->changes.push_back(usable("", 11));
-    message.hello->load = {{target_id(), 1, 1},
-                           {target_id("a"), 0x80000000, 1},
-                           {target_id("b"), 1, 0x80000000},
-                           {target_id("c"), 1, 1}};
-    message.hello->stock = {{team_id(), tokens(1), tokens(1)},
-                            {team_id("a"), tokens(-1), tokens(1)},
-                            {team_id("b"), tokens(1), tokens(-1)},
-                            {team_id("c"), tokens(INT64_MAX), tokens(1)},
-                            {team_id("d"), tokens(1), tokens(1)}};
-    message.hello->poison.push_back({dispatch::request_mark(1), {}});
-    message.hello->poison.push_back(
+    message.heartbeat = sample();
+    message.heartbeat->target_update->changes.push_back(usable("", 11));
+    message.heartbeat->load = {{target_id(), 1, 1},
+                               {target_id("a"), 0x80000000, 1},
+                               {target_id("b"), 1, 0x80000000},
+                               {target_id("c"), 1, 1}};
+    message.heartbeat->stock = {{team_id(), tokens(1), tokens(1)},
+                                {team_id("a"), tokens(-1), tokens(1)},
+                                {team_id("b"), tokens(1), tokens(-1)},
+                                {team_id("c"), tokens(INT64_MAX), tokens(1)},
+                                {team_id("d"), tokens(1), tokens(1)}};
+    message.heartbeat->poison.push_back({dispatch::request_mark(1), {}});
+    message.heartbeat->poison.push_back(
         {dispatch::request_mark(2), {{target_id(), {}}}});
-    message.hello->introduced = {"nowhere", "10.0.0.2:7000", ""};
+    message.heartbeat->introduced = {"nowhere", "10.0.0.2:7000", ""};
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello);
-    const beacon& it = *got->hello;
-    UNSIGNED_LONGS_EQUAL(2, it.target_news->changes.size());
+    CHECK(got && got->heartbeat);
+    const node_heartbeat& it = *got->heartbeat;
+    UNSIGNED_LONGS_EQUAL(2, it.target_update->changes.size());
     UNSIGNED_LONGS_EQUAL(1, it.load.size());
     CHECK(it.load.at(0).target == target_id("c"));
     UNSIGNED_LONGS_EQUAL(1, it.stock.size());
     CHECK(it.stock.at(0).team == team_id("d"));
     UNSIGNED_LONGS_EQUAL(1, it.poison.size());
     UNSIGNED_LONGS_EQUAL(1, it.introduced.size());
-    UNSIGNED_LONGS_EQUAL(12, got->left_out);
+    UNSIGNED_LONGS_EQUAL(12, got->invalid_parts);
 }
 
 // Story: one beacon claims a configuration of version -1. Read as the largest
 // number there is, every node would ask that peer for it from then on.
 TEST(mesh_messages, a_beacon_that_claims_what_cannot_be_is_no_message)
 {
-    const std::vector<std::function<void(beacon&)>> faults = {
-        [](beacon& it) { it.host = host_id(); },
-        [](beacon& it) { it.peer_address = "nowhere"; },
-        [](beacon& it) { it.sequence = UINT64_MAX; },
-        [](beacon& it) {
+    const std::vector<std::function<void(node_heartbeat&)>> faults = {
+        [](node_heartbeat& it) { it.host = host_id(); },
+        [](node_heartbeat& it) { it.peer_address = "nowhere"; },
+        [](node_heartbeat& it) { it.sequence = UINT64_MAX; },
+        [](node_heartbeat& it) {
             it.configuration = catalog::configuration_version(UINT64_MAX);
         },
-        [](beacon& it) { it.targets_changed = catalog::revision(UINT64_MAX); }};
+        [](node_heartbeat& it) {
+            it.targets_changed = catalog::revision(UINT64_MAX);
+        }};
     for (const auto& spoil : faults) {
         datagram message;
-        message.hello = sample();
-        spoil(*message.hello);
+        message.heartbeat = sample();
+        spoil(*message.heartbeat);
         CHECK(!decode_datagram(encode(message)));
     }
 }
@@ -382,14 +385,14 @@
 {
     for (const double rate : {std::nan(""), HUGE_VAL, -HUGE_VAL, -1.0, 1e300}) {
         datagram message;
-        message.hello = sample();
-        message.hello->capacity = rate;
-        message.hello->requests_per_second = rate;
+        message.heartbeat = sample();
+        message.heartbeat->capacity = rate;
+        message.heartbeat->requests_per_second = rate;
         const auto got = decode_datagram(encode(message));
-        CHECK(got && got->hello);
+        CHECK(got && got->heartbeat);
         for (const double it :
-             {got->hello->capacity, got->hello->requests_per_second})
-            CHECK(it >= 0 && it <= most_requests);
+             {got->heartbeat->capacity, got->heartbeat->requests_per_second})
+            CHECK(it >= 0 && it <= max_request_rate);
     }
 }
 
@@ -397,10 +400,10 @@
 TEST(mesh_messages, a_callers_address_that_is_none_is_left_out)
 {
     datagram message;
-    message.hello = sample();
-    message.hello->caller_address = "front:80";
+    message.heartbeat = sample();
+    message.heartbeat->caller_address = "front:80";
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello->caller_address.empty());
+    CHECK(got && got->heartbeat->caller_address.empty());
 }
 
 // Story: an empty row takes a byte on the wire and hundreds in memory. Four
@@ -409,7 +412,7 @@
 {
     sync_reply reply;
     reply.targets_as_of = catalog::revision(20);
-    reply.targets.resize(most_elements, usable("i-1", 20));
+    reply.targets.resize(max_list_elements, usable("i-1", 20));
     CHECK(decode_sync_reply(encode(reply)).has_value());
     reply.targets.push_back(usable("i-2", 20));
     CHECK(!decode_sync_reply(encode(reply)));
@@ -420,9 +423,9 @@
 TEST(mesh_messages, a_beacon_has_no_more_rows_than_a_fleet_needs)
 {
     datagram message;
-    message.hello = sample();
-    beacon& it = *message.hello;
-    constexpr std::size_t many = most_rows + 10;
+    message.heartbeat = sample();
+    node_heartbeat& it = *message.heartbeat;
+    constexpr std::size_t many = max_heartbeat_rows + 10;
     it.load.assign(many, {target_id("i-1"), 1, 1});
     it.stock.assign(many, {team_id("t"), tokens(1), tokens(1)});
     it.poison.assign(
@@ -430,17 +433,18 @@
         {dispatch::request_mark(1),
          std::vector(many, catalog::target_process{target_id("i-1"), {}})});
     it.introduced.assign(many, "10.0.0.2:7000");
-    it.heard.assign(many, {node_life(78), milliseconds(40)});
+    it.heard.assign(many, {node_incarnation(78), milliseconds(40)});
     // A part of these wouldn't be news that are complete.
-    it.target_news->changes.assign(many, usable("i-1", 11));
+    it.target_update->changes.assign(many, usable("i-1", 11));
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello);
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->load.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->stock.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->poison.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->poison.at(0).deaths.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->introduced.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->heard.size());
-    CHECK(!got->hello->target_news);
-    CHECK(got->left_out > 0);
+    CHECK(got && got->heartbeat);
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->load.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->stock.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->poison.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows,
+                         got->heartbeat->poison.at(0).deaths.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->introduced.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->heard.size());
+    CHECK(!got->heartbeat->target_update);
+    CHECK(got->invalid_parts > 0);
 }
--- a/libs/mesh/roster.cpp
+++ b/libs/mesh/peer_view.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/mesh/roster.hpp"
+#include "fennelladder/mesh/peer_view.hpp"
 
 #include "fennelladder/base/hash.hpp"
 
@@ -10,9 +10,9 @@
 
 namespace {
 
-beacon without_details(const beacon& from)
+node_heartbeat without_details(const node_heartbeat& from)
 {
-    beacon out = from;
+    node_heartbeat out = from;
     out.load.clear();
     out.stock.clear();
     out.limits.clear();
@@ -20,20 +20,21 @@
     out.poison.clear();
     out.introduced.clear();
     out.heard.clear();
-    out.target_news.reset();
+    out.target_update.reset();
     out.evacuations.reset();
     return out;
 }
 
 } // namespace
 
-roster::roster(host_id self, roster_options options)
+peer_view::peer_view(host_id self, peer_view_options options)
     : self_(std::move(self)), options_(options)
 {}
 
-roster_news roster::hear(const beacon& from, instant now)
+heartbeat_effect peer_view::on_heartbeat(const node_heartbeat& from,
+                                         instant now)
 {
-    roster_news news;
+    heartbeat_effect news;
     if (from.host == self_)
         return news;
     const auto known = rows_.find(from.host);
@@ -47,7 +48,7 @@
             return news;
         news.state_changed = known->second.last.state != from.state;
     }
-    way_delay way;
+    transit_delay way;
     if (!news.new_node)
         way = known->second.way;
     if (from.sent)
@@ -61,42 +62,42 @@
 
 /// A mention never revives what it is too old for, and a new life is only
 /// believed of its own beacon.
-void roster::take_mentions(const beacon& from, instant now)
+void peer_view::take_mentions(const node_heartbeat& from, instant now)
 {
     for (auto& [host, row] : rows_) {
         const auto it =
-            std::ranges::find(from.heard, row.last.life, &heard_node::life);
+            std::ranges::find(from.heard, row.last.life, &recent_peer::life);
         if (it != from.heard.end())
             row.seen = std::max(row.seen, now - it->ago);
     }
 }
 
-std::vector<heard_node> roster::heard_lately(instant now) const
+std::vector<recent_peer> peer_view::recent_peers(instant now) const
 {
-    std::vector<const node_row*> rows;
+    std::vector<const peer_record*> rows;
     rows.reserve(rows_.size());
     for (const auto& [host, row] : rows_)
         rows.push_back(&row);
-    const auto n =
-        static_cast<std::ptrdiff_t>(std::min(options_.mentions, rows.size()));
+    const auto n = static_cast<std::ptrdiff_t>(
+        std::min(options_.max_recent_peers, rows.size()));
     std::ranges::partial_sort(rows, rows.begin() + n, std::greater<>(),
-                              &node_row::heard);
-    std::vector<heard_node> out;
+                              &peer_record::heard);
+    std::vector<recent_peer> out;
     for (auto it = rows.begin(); it != rows.begin() + n; ++it)
         out.push_back({(*it)->last.life, now - (*it)->heard});
     return out;
 }
 
-duration roster::silence_limit() const
+duration peer_view::silence_limit() const
 {
     const double shortest =
-        options_.silent_periods * to_seconds(options_.beacon_period);
-    const double gap =
-        to_seconds(period()) / (1 + static_cast<double>(options_.mentions));
-    return from_seconds(std::max(shortest, options_.silent_gaps * gap));
+        options_.failure_periods * to_seconds(options_.heartbeat_period);
+    const double gap = to_seconds(period()) /
+                       (1 + static_cast<double>(options_.max_recent_peers));
+    return from_seconds(std::max(shortest, options_.failure_gaps * gap));
 }
 
-void roster::add_addresses(const std::vector<std::string>& addresses)
+void peer_view::add_addresses(const std::vector<std::string>& addresses)
 {
     for (const std::string& it : addresses) {
         const bool known = std::ranges::any_of(rows_, [&](const auto& row) {
@@ -107,17 +108,17 @@
     }
 }
 
-duration roster::period() const
+duration peer_view::period() const
 {
     const double seconds_each =
-        static_cast<double>(rows_.size()) / options_.beacon_rate;
-    return std::max(options_.beacon_period, from_seconds(seconds_each));
+        static_cast<double>(rows_.size()) / options_.max_heartbeat_rate;
+    return std::max(options_.heartbeat_period, from_seconds(seconds_each));
 }
 
 /// Nodes that start together hear of each other at the same moment. Without a
 /// phase for each pair all beacons of a period would come at once, and what
 /// they confirm and whom they mention would be a period old before the next.
-double roster::phase_of(const host_id& other) const
+double peer_view::phase_of(const host_id& other) const
 {
     constexpr std::uint64_t steps = 1024;
     const std::uint64_t seed = hash64(self_.str());
@@ -125,7 +126,7 @@
     return static_cast<double>(step) / steps;
 }
 
-std::vector<std::string> roster::due(instant now)
+std::vector<std::string> peer_view::due(instant now)
 {
     std::vector<std::string> out;
     for (const auto& [host, row] : rows_) {
@@ -142,14 +143,14 @@
     instant& next = next_due_[""];
     if (now < next)
         return out;
-    next = now + options_.beacon_period;
-    const std::size_t n = 1 + unanswered_.size() / options_.periods_to_try_all;
+    next = now + options_.heartbeat_period;
+    const std::size_t n = 1 + unanswered_.size() / options_.probe_all_periods;
     for (std::size_t i = 0; i < n; ++i)
         out.push_back(unanswered_[turn_++ % unanswered_.size()]);
     return out;
 }
 
-std::vector<std::string> roster::all_addresses() const
+std::vector<std::string> peer_view::all_addresses() const
 {
     std::vector<std::string> out = unanswered_;
     for (const auto& [host, row] : rows_)
@@ -157,24 +158,24 @@
     return out;
 }
 
-bool roster::is_alive(const node_row& row, instant now) const
+bool peer_view::is_alive(const peer_record& row, instant now) const
 {
     return now - row.seen < silence_limit();
 }
 
-std::vector<const node_row*> roster::alive(instant now) const
+std::vector<const peer_record*> peer_view::alive(instant now) const
 {
-    std::vector<const node_row*> out;
+    std::vector<const peer_record*> out;
     for (const auto& [host, row] : rows_)
         if (is_alive(row, now))
             out.push_back(&row);
     return out;
 }
 
-std::vector<host_id> roster::members(instant now) const
+std::vector<host_id> peer_view::members(instant now) const
 {
     std::vector<host_id> out{self_};
-    for (const node_row* it : alive(now))
+    for (const peer_record* it : alive(now))
         if (it->last.state != node_state::leaving)
             out.push_back(it->last.host);
     std::ranges::sort(out);
@@ -182,13 +183,13 @@
 }
 
 /// The nodes that come before this one, with their places.
-std::vector<std::pair<roster::place, const node_row*>>
-roster::ahead_of(std::string_view salt, bool reached, double capacity,
-                 instant now) const
+std::vector<std::pair<peer_view::place, const peer_record*>>
+peer_view::ahead_of(std::string_view salt, bool reached, double capacity,
+                    instant now) const
 {
     const auto living = alive(now);
     double largest = capacity;
-    for (const node_row* it : living)
+    for (const peer_record* it : living)
         largest = std::max(largest, it->last.capacity);
     const std::uint64_t seed = hash64(salt);
     const auto place_of = [&](bool it_reaches, double its_capacity,
@@ -197,9 +198,9 @@
         return place(it_reaches, large, hash64(host.str(), seed));
     };
     const place own = place_of(reached, capacity, self_);
-    std::vector<std::pair<place, const node_row*>> out;
-    for (const node_row* it : living) {
-        const beacon& said = it->last;
+    std::vector<std::pair<place, const peer_record*>> out;
+    for (const peer_record* it : living) {
+        const node_heartbeat& said = it->last;
         const place its =
             place_of(said.platform_reached, said.capacity, said.host);
         if (said.state == node_state::ready && its > own)
@@ -210,7 +211,7 @@
 
 /// Sizes are settings of hosts, so nodes that know the same ones agree on who
 /// is large.
-std::vector<host_id> roster::hosts_by_size(double capacity, bool large) const
+std::vector<host_id> peer_view::hosts_by_size(double capacity, bool large) const
 {
     double largest = capacity;
     for (const auto& [host, it] : hosts_)
@@ -224,22 +225,23 @@
     return out;
 }
 
-std::vector<host_id> roster::large_hosts(double capacity) const
+std::vector<host_id> peer_view::large_hosts(double capacity) const
 {
     return hosts_by_size(capacity, true);
 }
 
-std::vector<host_id> roster::small_hosts(double capacity) const
+std::vector<host_id> peer_view::small_hosts(double capacity) const
 {
     return hosts_by_size(capacity, false);
 }
 
-std::size_t roster::host_count() const
+std::size_t peer_view::host_count() const
 {
     return hosts_.size() + unanswered_.size() + 1;
 }
 
-std::vector<host_id> roster::large_members(double capacity, instant now) const
+std::vector<host_id> peer_view::large_members(double capacity,
+                                              instant now) const
 {
     std::vector<host_id> out = large_hosts(capacity);
     const auto here = members(now);
@@ -249,25 +251,25 @@
     return out;
 }
 
-std::size_t roster::rank(std::string_view salt, bool reached, double capacity,
-                         instant now) const
+std::size_t peer_view::rank(std::string_view salt, bool reached,
+                            double capacity, instant now) const
 {
     return ahead_of(salt, reached, capacity, now).size();
 }
 
-const node_row* roster::leader(std::string_view salt, bool reached,
-                               double capacity, instant now) const
+const peer_record* peer_view::leader(std::string_view salt, bool reached,
+                                     double capacity, instant now) const
 {
     const auto ahead = ahead_of(salt, reached, capacity, now);
     const auto first = std::ranges::max_element(ahead);
     return first == ahead.end() ? nullptr : first->second;
 }
 
-size_place roster::place_by_size(double capacity, instant now) const
+size_class peer_view::classify_size(double capacity, instant now) const
 {
     const auto living = alive(now);
     std::vector<double> sizes{capacity};
-    for (const node_row* it : living)
+    for (const peer_record* it : living)
         if (it->last.platform_reached)
             sizes.push_back(it->last.capacity);
     const double largest = *std::ranges::max_element(sizes);
@@ -278,26 +280,26 @@
                 static_cast<double>(living.size() + 1)};
 }
 
-std::vector<std::string> roster::introductions(std::size_t most, instant now)
+std::vector<std::string> peer_view::introductions(std::size_t most, instant now)
 {
     const auto living = alive(now);
     const std::size_t n = std::min(most, living.size());
     std::vector<std::string> out;
     out.reserve(n);
     for (std::size_t i = 0; i < n; ++i) {
-        const node_row* it = living[introduced_++ % living.size()];
+        const peer_record* it = living[introduced_++ % living.size()];
         out.push_back(it->last.peer_address);
     }
     return out;
 }
 
-void roster::forget_old(instant now)
+void peer_view::forget_old(instant now)
 {
     std::erase_if(rows_, [&](const auto& it) {
         return now - it.second.seen > options_.forget_after;
     });
     std::erase_if(hosts_, [&](const auto& it) {
-        return now - it.second.heard > options_.host_memory;
+        return now - it.second.heard > options_.host_retention;
     });
     std::erase_if(next_due_, [&](const auto& it) {
         return now - it.second > options_.forget_after;
--- a/libs/mesh/roster_test.cpp
+++ b/libs/mesh/peer_view_test.cpp
@@ -1,5 +1,5 @@
 #include "fennelladder/base/random.hpp"
-#include "fennelladder/mesh/roster.hpp"
+#include "fennelladder/mesh/peer_view.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -12,11 +12,11 @@
 
 constexpr instant start = instant(seconds(100));
 
-beacon from(int i, std::uint64_t sequence = 1, std::uint64_t life = 1)
+node_heartbeat from(int i, std::uint64_t sequence = 1, std::uint64_t life = 1)
 {
-    beacon out;
+    node_heartbeat out;
     out.host = host_id("n" + std::to_string(i));
-    out.life = node_life(life);
+    out.life = node_incarnation(life);
     out.sequence = sequence;
     out.state = node_state::ready;
     out.peer_address = "10.0.0." + std::to_string(i) + ":7000";
@@ -26,51 +26,51 @@
 
 } // namespace
 
-TEST_GROUP(roster)
+TEST_GROUP(peer_view)
 {
-    mesh::roster nodes{host_id("n0"), {}};
+    mesh::peer_view nodes{host_id("n0"), {}};
 };
 
-TEST(roster, a_node_is_news_once_a_life)
+TEST(peer_view, a_node_is_news_once_a_life)
 {
-    CHECK(nodes.hear(from(1), start).new_node);
-    CHECK(!nodes.hear(from(1, 2), start).new_node);
-    CHECK(nodes.hear(from(1, 1, 2), start).new_node);
+    CHECK(nodes.on_heartbeat(from(1), start).new_node);
+    CHECK(!nodes.on_heartbeat(from(1, 2), start).new_node);
+    CHECK(nodes.on_heartbeat(from(1, 1, 2), start).new_node);
 }
 
-TEST(roster, a_process_that_didnt_leave_has_died)
+TEST(peer_view, a_process_that_didnt_leave_has_died)
 {
-    CHECK(!nodes.hear(from(1), start).died);
-    CHECK(nodes.hear(from(1, 1, 2), start).died);
-    beacon leaving = from(1, 2, 2);
+    CHECK(!nodes.on_heartbeat(from(1), start).died);
+    CHECK(nodes.on_heartbeat(from(1, 1, 2), start).died);
+    node_heartbeat leaving = from(1, 2, 2);
     leaving.state = node_state::leaving;
-    nodes.hear(leaving, start);
-    CHECK(!nodes.hear(from(1, 1, 3), start).died);
+    nodes.on_heartbeat(leaving, start);
+    CHECK(!nodes.on_heartbeat(from(1, 1, 3), start).died);
 }
 
-TEST(roster, a_late_beacon_changes_nothing)
+TEST(peer_view, a_late_beacon_changes_nothing)
 {
-    nodes.hear(from(1, 5), start);
-    beacon late = from(1, 4);
+    nodes.on_heartbeat(from(1, 5), start);
+    node_heartbeat late = from(1, 4);
     late.state = node_state::leaving;
-    CHECK(nodes.hear(late, start).late);
-    CHECK(!nodes.hear(late, start).state_changed);
+    CHECK(nodes.on_heartbeat(late, start).late);
+    CHECK(!nodes.on_heartbeat(late, start).state_changed);
     CHECK(nodes.alive(start).at(0)->last.state == node_state::ready);
 }
 
-TEST(roster, a_silent_node_is_not_alive)
+TEST(peer_view, a_silent_node_is_not_alive)
 {
-    nodes.hear(from(1), start);
+    nodes.on_heartbeat(from(1), start);
     UNSIGNED_LONGS_EQUAL(1, nodes.alive(start + milliseconds(900)).size());
     UNSIGNED_LONGS_EQUAL(0, nodes.alive(start + milliseconds(1100)).size());
 }
 
-TEST(roster, seeds_are_tried_until_somebody_answers_there)
+TEST(peer_view, seeds_are_tried_until_somebody_answers_there)
 {
     nodes.add_addresses({"10.0.0.1:7000", "10.0.0.2:7000"});
     UNSIGNED_LONGS_EQUAL(1, nodes.due(start).size());
-    nodes.hear(from(1), start);
-    nodes.hear(from(2), start);
+    nodes.on_heartbeat(from(1), start);
+    nodes.on_heartbeat(from(2), start);
     const auto due = nodes.due(start + seconds(1));
     UNSIGNED_LONGS_EQUAL(2, due.size());
 }
@@ -81,7 +81,7 @@
 // others' addresses from the platform and has heard nobody. With one of them
 // tried four times a second, a hundred nodes needed half a minute to find each
 // other; till then each believed to be nearly alone.
-TEST(roster, many_unanswered_addresses_are_all_tried_within_seconds)
+TEST(peer_view, many_unanswered_addresses_are_all_tried_within_seconds)
 {
     std::vector<std::string> all;
     for (int i = 1; i <= 99; ++i)
@@ -94,13 +94,13 @@
     UNSIGNED_LONGS_EQUAL(99, tried.size());
 }
 
-TEST(roster, those_that_reach_the_platform_rank_first)
+TEST(peer_view, those_that_reach_the_platform_rank_first)
 {
-    beacon cut = from(1);
+    node_heartbeat cut = from(1);
     cut.platform_reached = false;
-    nodes.hear(cut, start);
-    nodes.hear(from(2), start);
-    nodes.hear(from(3), start);
+    nodes.on_heartbeat(cut, start);
+    nodes.on_heartbeat(from(2), start);
+    nodes.on_heartbeat(from(3), start);
     CHECK(nodes.rank("x", true, 0, start) <= 2);
     CHECK(nodes.rank("x", false, 0, start) >= 2);
 }
@@ -109,12 +109,12 @@
 // three that watch the platform. They were small hosts; the copies took eight
 // seconds on their links, and callers were served by what was no longer in
 // force.
-TEST(roster, large_hosts_rank_before_small_ones)
+TEST(peer_view, large_hosts_rank_before_small_ones)
 {
     for (int i = 1; i <= 20; ++i) {
-        beacon it = from(i);
+        node_heartbeat it = from(i);
         it.capacity = i <= 4 ? 400 : 100;
-        nodes.hear(it, start);
+        nodes.on_heartbeat(it, start);
     }
     CHECK(nodes.rank("x", true, 100, start) >= 4);
     CHECK(nodes.rank("x", true, 400, start) <= 4);
@@ -122,37 +122,37 @@
     UNSIGNED_LONGS_EQUAL(20, nodes.rank("x", false, 400, start));
 }
 
-TEST(roster, size_is_compared_with_those_that_reach_the_platform)
+TEST(peer_view, size_is_compared_with_those_that_reach_the_platform)
 {
-    CHECK(nodes.place_by_size(100, start).large);
-    DOUBLES_EQUAL(1, nodes.place_by_size(100, start).large_part, 1e-9);
+    CHECK(nodes.classify_size(100, start).large);
+    DOUBLES_EQUAL(1, nodes.classify_size(100, start).large_fraction, 1e-9);
     for (int i = 1; i <= 9; ++i) {
-        beacon it = from(i);
+        node_heartbeat it = from(i);
         it.capacity = i <= 2 ? 400 : 100;
-        nodes.hear(it, start);
+        nodes.on_heartbeat(it, start);
     }
-    CHECK(!nodes.place_by_size(100, start).large);
-    DOUBLES_EQUAL(0.2, nodes.place_by_size(100, start).large_part, 1e-9);
-    DOUBLES_EQUAL(0.3, nodes.place_by_size(400, start).large_part, 1e-9);
+    CHECK(!nodes.classify_size(100, start).large);
+    DOUBLES_EQUAL(0.2, nodes.classify_size(100, start).large_fraction, 1e-9);
+    DOUBLES_EQUAL(0.3, nodes.classify_size(400, start).large_fraction, 1e-9);
     // The large ones are cut off: the small ones are the largest left.
     for (int i = 1; i <= 2; ++i) {
-        beacon it = from(i, 2);
+        node_heartbeat it = from(i, 2);
         it.capacity = 400;
         it.platform_reached = false;
-        nodes.hear(it, start);
+        nodes.on_heartbeat(it, start);
     }
-    CHECK(nodes.place_by_size(100, start).large);
-    DOUBLES_EQUAL(0.8, nodes.place_by_size(100, start).large_part, 1e-9);
+    CHECK(nodes.classify_size(100, start).large);
+    DOUBLES_EQUAL(0.8, nodes.classify_size(100, start).large_fraction, 1e-9);
 }
 
-TEST(roster, ranks_are_agreed_on)
+TEST(peer_view, ranks_are_agreed_on)
 {
     constexpr int n = 6;
     std::vector<std::size_t> ranks;
     for (int self = 0; self < n; ++self) {
-        mesh::roster it(host_id("n" + std::to_string(self)), {});
+        mesh::peer_view it(host_id("n" + std::to_string(self)), {});
         for (int i = 0; i < n; ++i)
-            it.hear(from(i), start);
+            it.on_heartbeat(from(i), start);
         ranks.push_back(it.rank("targets", true, 0, start));
     }
     std::ranges::sort(ranks);
@@ -160,7 +160,7 @@
         UNSIGNED_LONGS_EQUAL(i, ranks[i]);
 }
 
-TEST(roster, one_leader_is_agreed_on_and_follows_the_platform)
+TEST(peer_view, one_leader_is_agreed_on_and_follows_the_platform)
 {
     constexpr int n = 6;
     // All reach the platform but node 2, and then all but those that led.
@@ -168,14 +168,14 @@
     for (int round = 0; round < 3; ++round) {
         std::set<host_id> leaders;
         for (int self = 0; self < n; ++self) {
-            mesh::roster it(host_id("n" + std::to_string(self)), {});
+            mesh::peer_view it(host_id("n" + std::to_string(self)), {});
             for (int i = 0; i < n; ++i) {
-                beacon said = from(i);
+                node_heartbeat said = from(i);
                 said.platform_reached = !cut.contains(i);
-                it.hear(said, start);
+                it.on_heartbeat(said, start);
             }
             const bool reached = !cut.contains(self);
-            const node_row* first = it.leader("x", reached, 0, start);
+            const peer_record* first = it.leader("x", reached, 0, start);
             leaders.insert(first != nullptr
                                ? first->last.host
                                : host_id("n" + std::to_string(self)));
@@ -197,10 +197,10 @@
     explicit fleet(int n)
     {
         for (int i = 0; i < n; ++i)
-            rosters_.emplace_back(host_id(name(i)), roster_options{});
+            rosters_.emplace_back(host_id(name(i)), peer_view_options{});
         for (int i = 0; i < n; ++i)
             for (int from = 0; from < n; ++from)
-                rosters_[i].hear(beacon_of(from), now_);
+                rosters_[i].on_heartbeat(beacon_of(from), now_);
     }
 
     void kill(int i) { dead_.insert(i); }
@@ -234,7 +234,7 @@
     {
         int out = 0;
         for (int at = 0; at < size(); ++at)
-            for (const node_row* it : rosters_[at].alive(now_))
+            for (const peer_record* it : rosters_[at].alive(now_))
                 out += !dead_.contains(at) && it->last.host.str() == name(i);
         return out;
     }
@@ -243,15 +243,15 @@
     static std::string name(int i) { return "n" + std::to_string(i); }
     int size() const { return static_cast<int>(rosters_.size()); }
 
-    beacon beacon_of(int i)
+    node_heartbeat beacon_of(int i)
     {
-        beacon out;
+        node_heartbeat out;
         out.host = host_id(name(i));
-        out.life = node_life(static_cast<std::uint64_t>(i) + 1);
+        out.life = node_incarnation(static_cast<std::uint64_t>(i) + 1);
         out.sequence = ++sequence_;
         out.state = node_state::ready;
         out.peer_address = name(i);
-        out.heard = rosters_[i].heard_lately(now_);
+        out.heard = rosters_[i].recent_peers(now_);
         return out;
     }
 
@@ -260,11 +260,11 @@
         for (const std::string& to : rosters_[from].due(now_)) {
             const int at = std::stoi(to.substr(1));
             if (random_.below(20) != 0 && !dead_.contains(at))
-                rosters_[at].hear(beacon_of(from), now_);
+                rosters_[at].on_heartbeat(beacon_of(from), now_);
         }
     }
 
-    std::vector<mesh::roster> rosters_;
+    std::vector<mesh::peer_view> rosters_;
     std::set<int> dead_;
     std::uint64_t sequence_ = 0;
     random_source random_{7};
@@ -276,7 +276,7 @@
 // Story: one of sixty nodes loses power. Each of the others hears it every 1.5
 // s and waited for four beacons: for 6 s callers were sent there, and its part
 // in watching the platform was nobody's. In a fleet of 200 it was 20 s.
-TEST(roster, a_dead_node_is_noticed_within_seconds_in_a_large_fleet)
+TEST(peer_view, a_dead_node_is_noticed_within_seconds_in_a_large_fleet)
 {
     struct row
     {
@@ -293,7 +293,7 @@
     }
 }
 
-TEST(roster, living_nodes_are_not_taken_for_dead_in_a_large_fleet)
+TEST(peer_view, living_nodes_are_not_taken_for_dead_in_a_large_fleet)
 {
     for (const int n : {8, 60, 100}) {
         fleet all(n);
@@ -304,12 +304,12 @@
 
 // Guards against nodes that agree on less than they could: what large hosts are
 // chosen for mustn't hang on whom a node heard just now.
-TEST(roster, large_hosts_are_known_for_long_and_large_members_live)
+TEST(peer_view, large_hosts_are_known_for_long_and_large_members_live)
 {
     for (int i = 1; i <= 4; ++i) {
-        beacon it = from(i);
+        node_heartbeat it = from(i);
         it.capacity = i <= 2 ? 400 : 100;
-        nodes.hear(it, start);
+        nodes.on_heartbeat(it, start);
     }
     using hosts = std::vector<host_id>;
     const hosts large{host_id("n1"), host_id("n2")};
@@ -321,10 +321,10 @@
     CHECK(nodes.large_members(100, later).empty());
 }
 
-TEST(roster, a_large_fleet_sends_no_more_beacons)
+TEST(peer_view, a_large_fleet_sends_no_more_beacons)
 {
     for (int i = 1; i <= 200; ++i)
-        nodes.hear(from(i), start);
+        nodes.on_heartbeat(from(i), start);
     std::size_t sent = 0;
     for (int ms = 0; ms < 10'000; ms += 50)
         sent += nodes.due(start + milliseconds(ms)).size();
@@ -334,10 +334,10 @@
 
 // Guards against the halves of a fleet in two that share a limit among as many
 // hosts each as they hear.
-TEST(roster, hosts_count_for_long_after_their_last_word)
+TEST(peer_view, hosts_count_for_long_after_their_last_word)
 {
-    nodes.hear(from(1), start);
-    nodes.hear(from(2), start);
+    nodes.on_heartbeat(from(1), start);
+    nodes.on_heartbeat(from(2), start);
     nodes.forget_old(start + minutes(5));
     UNSIGNED_LONGS_EQUAL(1, nodes.size());
     UNSIGNED_LONGS_EQUAL(3, nodes.host_count());
@@ -348,10 +348,10 @@
 
 // Guards against a node that starts in one half of a fleet, and finds the
 // others only in the platform's list.
-TEST(roster, hosts_that_never_answered_count)
+TEST(peer_view, hosts_that_never_answered_count)
 {
     nodes.add_addresses({"10.0.0.1:7000", "10.0.0.2:7000"});
     UNSIGNED_LONGS_EQUAL(3, nodes.host_count());
-    nodes.hear(from(1), start);
+    nodes.on_heartbeat(from(1), start);
     UNSIGNED_LONGS_EQUAL(3, nodes.host_count());
 }
--- a/libs/mesh/source_choice.cpp
+++ b/libs/mesh/source_choice.cpp
@@ -31,7 +31,7 @@
 /// After this long without a question, failures before don't count.
 constexpr duration memory = seconds(10);
 
-double weight_of(const news_source& source, const data_center_id& own)
+double weight_of(const update_source& source, const data_center_id& own)
 {
     // Written so that a number that is none counts as the least.
     const double capacity = source.capacity > least_capacity
@@ -42,14 +42,14 @@
 
 } // namespace
 
-std::string choose_source(const std::vector<news_source>& sources,
+std::string choose_source(const std::vector<update_source>& sources,
                           const data_center_id& own, random_source& random)
 {
     double total = 0;
-    for (const news_source& it : sources)
+    for (const update_source& it : sources)
         total += weight_of(it, own);
     double left = random.unit() * total;
-    for (const news_source& it : sources) {
+    for (const update_source& it : sources) {
         left -= weight_of(it, own);
         if (left < 0)
             return it.address;
@@ -58,7 +58,7 @@
     return sources.empty() ? std::string() : sources.back().address;
 }
 
-duration ask_pause(std::size_t nodes, std::size_t sources)
+duration request_interval(std::size_t nodes, std::size_t sources)
 {
     const auto each =
         static_cast<std::int64_t>(nodes / std::max<std::size_t>(sources, 1));
@@ -66,39 +66,41 @@
                                 longest_pause);
 }
 
-duration head_start(bool is_large, double large_part, std::size_t nodes,
-                    std::size_t sources, random_source& random)
+duration initial_delay(bool is_large, double large_fraction, std::size_t nodes,
+                       std::size_t sources, random_source& random)
 {
     const duration longest =
-        std::min(ask_pause(nodes, sources), longest_head_start);
-    const double from = is_large ? 0 : large_part;
-    const double to = is_large ? large_part : 1;
+        std::min(request_interval(nodes, sources), longest_head_start);
+    const double from = is_large ? 0 : large_fraction;
+    const double to = is_large ? large_fraction : 1;
     return from_seconds((from + random.unit() * (to - from)) *
                         to_seconds(longest));
 }
 
-int source_rests::note(const std::string& address, fetch_end end, instant now,
-                       random_source& random)
+int source_backoff::note(const std::string& address, fetch_result end,
+                         instant now, random_source& random)
 {
     std::erase_if(
         rests_, [&](const auto& it) { return now - it.second.until > memory; });
-    if (end == fetch_end::done) {
+    if (end == fetch_result::done) {
         rests_.erase(address);
         return 0;
     }
     rest& it = rests_[address];
     const int doublings = std::min(it.times, most_doublings);
-    const duration base = end == fetch_end::failed ? failure_rest : short_rest;
+    const duration base =
+        end == fetch_result::failed ? failure_rest : short_rest;
     it.until = now + jitter(random, base * (1 << doublings));
     return ++it.times;
 }
 
-std::vector<news_source>
-source_rests::awake(const std::vector<news_source>& sources, instant now) const
+std::vector<update_source>
+source_backoff::available(const std::vector<update_source>& sources,
+                          instant now) const
 {
-    std::vector<news_source> out;
+    std::vector<update_source> out;
     std::ranges::copy_if(
-        sources, std::back_inserter(out), [&](const news_source& it) {
+        sources, std::back_inserter(out), [&](const update_source& it) {
             const auto rest = rests_.find(it.address);
             return rest == rests_.end() || now >= rest->second.until;
         });
--- a/libs/mesh/source_choice_test.cpp
+++ b/libs/mesh/source_choice_test.cpp
@@ -13,7 +13,7 @@
 const instant start = from_nanoseconds(1'000'000'000);
 
 /// How often each is chosen in 10,000 choices.
-std::map<std::string, int> choices(const std::vector<news_source>& sources)
+std::map<std::string, int> choices(const std::vector<update_source>& sources)
 {
     random_source random(5);
     std::map<std::string, int> out;
@@ -30,8 +30,8 @@
 {
     struct row
     {
-        news_source a;
-        news_source b;
+        update_source a;
+        update_source b;
         double share_of_a;
     };
     const double inf = std::numeric_limits<double>::infinity();
@@ -64,7 +64,7 @@
 // the end.
 TEST(source_choice, nodes_that_know_the_same_ask_different_ones)
 {
-    std::vector<news_source> sources;
+    std::vector<update_source> sources;
     sources.reserve(5);
     for (int i = 0; i < 5; ++i)
         sources.push_back({std::to_string(i), near, 100});
@@ -73,18 +73,18 @@
         random_source random(node);
         ++asked[choose_source(sources, near, random)];
     }
-    for (const news_source& it : sources)
+    for (const update_source& it : sources)
         CHECK(asked[it.address] >= 4 && asked[it.address] <= 24);
 }
 
 TEST(source_choice, questions_to_one_source_stay_rare)
 {
-    CHECK(ask_pause(60, 1) == milliseconds(120));
-    CHECK(ask_pause(60, 3) == milliseconds(50));
-    CHECK(ask_pause(340, 1) == milliseconds(250));
-    CHECK(ask_pause(340, 8) == milliseconds(84));
-    CHECK(ask_pause(1, 1) == milliseconds(50));
-    CHECK(ask_pause(5, 0) == milliseconds(50));
+    CHECK(request_interval(60, 1) == milliseconds(120));
+    CHECK(request_interval(60, 3) == milliseconds(50));
+    CHECK(request_interval(340, 1) == milliseconds(250));
+    CHECK(request_interval(340, 8) == milliseconds(84));
+    CHECK(request_interval(1, 1) == milliseconds(50));
+    CHECK(request_interval(5, 0) == milliseconds(50));
 }
 
 TEST(source_choice, large_hosts_ask_first)
@@ -94,8 +94,8 @@
     duration first_small = seconds(1);
     duration last_small{0};
     for (int i = 0; i < 1'000; ++i) {
-        const duration large = head_start(true, 0.1, 340, 1, random);
-        const duration small = head_start(false, 0.1, 340, 1, random);
+        const duration large = initial_delay(true, 0.1, 340, 1, random);
+        const duration small = initial_delay(false, 0.1, 340, 1, random);
         last_large = std::max(last_large, large);
         first_small = std::min(first_small, small);
         last_small = std::max(last_small, small);
@@ -106,7 +106,7 @@
     // Where all are large, they don't ask at once either.
     duration last{0};
     for (int i = 0; i < 1'000; ++i)
-        last = std::max(last, head_start(true, 1, 340, 1, random));
+        last = std::max(last, initial_delay(true, 1, 340, 1, random));
     CHECK(last > milliseconds(140));
 }
 
@@ -114,42 +114,42 @@
 {
     struct row
     {
-        fetch_end end;
+        fetch_result end;
         duration first; ///< Longest of all draws.
         duration last;
     };
     const row rows[] = {
-        {fetch_end::done, duration(0), duration(0)},
-        {fetch_end::not_newer, milliseconds(150), milliseconds(600)},
-        {fetch_end::busy, milliseconds(150), milliseconds(600)},
-        {fetch_end::failed, milliseconds(750), milliseconds(3000)},
+        {fetch_result::done, duration(0), duration(0)},
+        {fetch_result::not_newer, milliseconds(150), milliseconds(600)},
+        {fetch_result::busy, milliseconds(150), milliseconds(600)},
+        {fetch_result::failed, milliseconds(750), milliseconds(3000)},
     };
-    const std::vector<news_source> both{{"a", near, 1}, {"b", near, 1}};
+    const std::vector<update_source> both{{"a", near, 1}, {"b", near, 1}};
     for (const row& it : rows) {
         random_source random(1);
-        source_rests rests;
+        source_backoff rests;
         rests.note("a", it.end, start, random);
-        CHECK_EQUAL(it.end == fetch_end::done ? 2U : 1U,
-                    rests.awake(both, start).size());
-        CHECK_EQUAL(2U, rests.awake(both, start + it.first).size());
+        CHECK_EQUAL(it.end == fetch_result::done ? 2U : 1U,
+                    rests.available(both, start).size());
+        CHECK_EQUAL(2U, rests.available(both, start + it.first).size());
         for (int i = 0; i < 6; ++i)
             rests.note("a", it.end, start, random);
-        CHECK_EQUAL(2U, rests.awake(both, start + it.last).size());
+        CHECK_EQUAL(2U, rests.available(both, start + it.last).size());
         const instant early = start + it.last / 3 - milliseconds(1);
-        CHECK_EQUAL(it.end == fetch_end::done ? 2U : 1U,
-                    rests.awake(both, early).size());
+        CHECK_EQUAL(it.end == fetch_result::done ? 2U : 1U,
+                    rests.available(both, early).size());
     }
 }
 
 TEST(source_choice, rests_are_forgotten)
 {
     random_source random(1);
-    source_rests rests;
-    CHECK_EQUAL(1, rests.note("a", fetch_end::busy, start, random));
-    CHECK_EQUAL(2, rests.note("a", fetch_end::busy, start, random));
-    CHECK_EQUAL(0, rests.note("a", fetch_end::done, start, random));
-    CHECK_EQUAL(1, rests.note("a", fetch_end::busy, start, random));
-    CHECK_EQUAL(1,
-                rests.note("b", fetch_end::busy, start + seconds(60), random));
+    source_backoff rests;
+    CHECK_EQUAL(1, rests.note("a", fetch_result::busy, start, random));
+    CHECK_EQUAL(2, rests.note("a", fetch_result::busy, start, random));
+    CHECK_EQUAL(0, rests.note("a", fetch_result::done, start, random));
+    CHECK_EQUAL(1, rests.note("a", fetch_result::busy, start, random));
+    CHECK_EQUAL(
+        1, rests.note("b", fetch_result::busy, start + seconds(60), random));
     UNSIGNED_LONGS_EQUAL(1, rests.size());
 }
--- a/libs/mesh/spread_test.cpp
+++ b/libs/mesh/spread_test.cpp
@@ -42,7 +42,7 @@
             const double part =
                 static_cast<double>(large) / static_cast<double>(size);
             const duration first =
-                head_start(i <= large, part, size, 1, random_);
+                initial_delay(i <= large, part, size, 1, random_);
             queue_.after(first, [this, i] { ask(i); });
         }
     }
@@ -73,7 +73,7 @@
 
         double link;
         transfer_slots slots;
-        source_rests rests;
+        source_backoff rests;
         std::vector<std::size_t> knows; ///< Nodes that have it.
         bool has_it = false;
         std::size_t asked = 0;
@@ -92,11 +92,11 @@
     void ask(std::size_t i)
     {
         node& it = nodes_[i];
-        std::vector<news_source> sources;
+        std::vector<update_source> sources;
         for (const std::size_t k : it.knows)
             sources.push_back({std::to_string(k), place, nodes_[k].link});
         const std::string address = choose_source(
-            it.rests.awake(sources, queue_.now()), place, random_);
+            it.rests.available(sources, queue_.now()), place, random_);
         if (address.empty())
             return ask_later(i);
         queue_.after(round_trip,
@@ -105,7 +105,8 @@
 
     void ask_later(std::size_t i)
     {
-        const duration wait = ask_pause(nodes_.size(), nodes_[i].knows.size());
+        const duration wait =
+            request_interval(nodes_.size(), nodes_[i].knows.size());
         queue_.after(jitter(random_, wait), [this, i] { ask(i); });
     }
 
@@ -114,16 +115,16 @@
         node& source = nodes_[k];
         ++source.asked;
         if (!source.has_it)
-            return turned_away(k, i, fetch_end::not_newer);
+            return turned_away(k, i, fetch_result::not_newer);
         const auto slot = source.slots.begin(queue_.now());
         if (slot)
             return send({k, i, *slot, configuration_bytes});
         for (const std::string& it : source.slots.served(version))
             learn(i, std::stoul(it));
-        turned_away(k, i, fetch_end::busy);
+        turned_away(k, i, fetch_result::busy);
     }
 
-    void turned_away(std::size_t k, std::size_t i, fetch_end end)
+    void turned_away(std::size_t k, std::size_t i, fetch_result end)
     {
         nodes_[i].rests.note(std::to_string(k), end, queue_.now(), random_);
         ask_later(i);
@@ -143,7 +144,7 @@
         node& source = nodes_[it.from];
         const std::size_t bytes = std::min(it.left, piece);
         const duration wait =
-            source.slots.wait_before(it.slot, bytes, queue_.now());
+            source.slots.pacing_delay(it.slot, bytes, queue_.now());
         if (wait > duration(0))
             return queue_.after(wait, [this, it] { send(it); });
         it.left -= bytes;
--- a/libs/mesh/stock_book.cpp
+++ b/libs/mesh/stock_table.cpp
@@ -1,11 +1,11 @@
-#include "fennelladder/mesh/stock_book.hpp"
+#include "fennelladder/mesh/stock_table.hpp"
 
 #include <algorithm>
 #include <utility>
 
 namespace fennelladder::mesh {
 
-void stock_book::hear(const beacon& from, instant now)
+void stock_table::on_heartbeat(const node_heartbeat& from, instant now)
 {
     row& it = rows_[from.host];
     it.heard = now;
@@ -16,7 +16,7 @@
         it.stock[stock.team] = stock;
 }
 
-std::vector<token_stock> stock_book::forget(const host_id& host)
+std::vector<token_stock> stock_table::forget(const host_id& host)
 {
     std::vector<token_stock> out;
     for (const auto& [team, stock] : std::exchange(rows_[host].stock, {}))
@@ -25,9 +25,9 @@
     return out;
 }
 
-std::optional<host_id> stock_book::richest(const team_id& team,
-                                           const std::set<host_id>& but,
-                                           instant since) const
+std::optional<host_id> stock_table::largest_holder(const team_id& team,
+                                                   const std::set<host_id>& but,
+                                                   instant since) const
 {
     std::optional<host_id> best;
     tokens most(0);
@@ -43,7 +43,8 @@
     return best;
 }
 
-void stock_book::deduct(const host_id& host, const team_id& team, tokens amount)
+void stock_table::deduct(const host_id& host, const team_id& team,
+                         tokens amount)
 {
     const auto peer = rows_.find(host);
     if (peer == rows_.end())
@@ -53,17 +54,18 @@
         it->second.free = std::max(it->second.free - amount, tokens(0));
 }
 
-known_stock stock_book::sum(const team_id& team, std::span<const host_id> some,
-                            instant since) const
+stock_totals stock_table::sum(const team_id& team,
+                              std::span<const host_id> some,
+                              instant since) const
 {
-    known_stock out;
+    stock_totals out;
     for (const auto& [host, peer] : rows_) {
         const auto it = peer.stock.find(team);
         if (it == peer.stock.end() || peer.heard < since)
             continue;
         out.free += it->second.free;
         if (std::ranges::find(some, host) != some.end())
-            out.free_of_some += it->second.free;
+            out.free_of_subset += it->second.free;
         out.spent_per_second += it->second.spent_per_second;
     }
     return out;
--- a/libs/mesh/packed_text.cpp
+++ b/libs/mesh/text_compression.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/mesh/packed_text.hpp"
+#include "fennelladder/mesh/text_compression.hpp"
 
 #include <algorithm>
 #include <memory>
@@ -41,7 +41,7 @@
 
 } // namespace
 
-result<std::string> pack(std::string_view text)
+result<std::string> compress_text(std::string_view text)
 {
     uLongf size = compressBound(text.size());
     std::string out(size, '\0');
@@ -56,7 +56,7 @@
     return out;
 }
 
-result<std::string> unpack(std::string_view packed, std::size_t limit)
+result<std::string> decompress_text(std::string_view packed, std::size_t limit)
 {
     inflater source;
     if (!source.usable)
--- a/libs/mesh/transfer_slots.cpp
+++ b/libs/mesh/transfer_slots.cpp
@@ -26,10 +26,11 @@
 constexpr duration turn_wait = milliseconds(1);
 
 /// Without having sent for so long, a transfer goes before older ones. Less
-/// than half of `longest_silence`: a piece that is late or lost must not end
-/// the transfer. A shorter one would hold up the one that is to be done first.
+/// than half of `transfer_idle_timeout`: a piece that is late or lost must not
+/// end the transfer. A shorter one would hold up the one that is to be done
+/// first.
 constexpr duration longest_yield = milliseconds(300);
-static_assert(2 * longest_yield < longest_silence);
+static_assert(2 * longest_yield < transfer_idle_timeout);
 
 /// A settings file may say 0; waits must stay finite.
 constexpr double slowest_link = 1e5;
@@ -46,7 +47,7 @@
 std::optional<transfer_id> transfer_slots::begin(instant now)
 {
     std::erase_if(begun_, [&](const auto& it) {
-        return now - it.second.begun >= longest_transfer;
+        return now - it.second.begun >= transfer_timeout;
     });
     if (begun_.size() >= size_)
         return std::nullopt;
@@ -60,8 +61,8 @@
     begun_.erase(id);
 }
 
-duration transfer_slots::wait_before(transfer_id id, std::size_t bytes,
-                                     instant now)
+duration transfer_slots::pacing_delay(transfer_id id, std::size_t bytes,
+                                      instant now)
 {
     const auto own = begun_.find(id);
     const bool yields = yields_now(id, now);
@@ -112,7 +113,7 @@
     served_version_ = version;
     std::erase(served_, address);
     served_.push_front(address);
-    if (served_.size() > most_named)
+    if (served_.size() > max_referrals)
         served_.pop_back();
 }
 
--- a/libs/mesh/transfer_slots_test.cpp
+++ b/libs/mesh/transfer_slots_test.cpp
@@ -65,7 +65,7 @@
         if (it.unsent == 0)
             return;
         const std::size_t bytes = std::min(it.unsent, piece);
-        const duration wait = slots_.wait_before(it.id, bytes, queue_.now());
+        const duration wait = slots_.pacing_delay(it.id, bytes, queue_.now());
         if (wait > duration(0))
             return queue_.after(wait, [this, &it] { send(it); });
         it.unsent -= bytes;
@@ -136,8 +136,8 @@
 {
     transfer_slots slots(small_link);
     UNSIGNED_LONGS_EQUAL(2, taken(slots, 3, start));
-    CHECK(!slots.begin(start + longest_transfer - milliseconds(1)));
-    CHECK(slots.begin(start + longest_transfer).has_value());
+    CHECK(!slots.begin(start + transfer_timeout - milliseconds(1)));
+    CHECK(slots.begin(start + transfer_timeout).has_value());
 }
 
 // Story: sixty nodes fetched a configuration from a small host, whose callers
@@ -149,7 +149,7 @@
     instant now = start;
     std::size_t sent = 0;
     for (std::size_t turn = 0; now < start + seconds(10); ++turn) {
-        const duration wait = slots.wait_before(ids[turn % 2], piece, now);
+        const duration wait = slots.pacing_delay(ids[turn % 2], piece, now);
         if (wait == duration(0))
             sent += piece;
         else
@@ -167,10 +167,10 @@
     for (int round = 0; round < 3; ++round) {
         const auto id = slots.begin(now);
         std::size_t at_once = 0;
-        while (slots.wait_before(*id, piece, now) == duration(0))
+        while (slots.pacing_delay(*id, piece, now) == duration(0))
             at_once += piece;
         CHECK(at_once >= 125'000 && at_once < 125'000 + 2 * piece);
-        CHECK(slots.wait_before(*id, piece, now) < milliseconds(27));
+        CHECK(slots.pacing_delay(*id, piece, now) < milliseconds(27));
         slots.end(*id);
         now += seconds(60);
     }
@@ -182,19 +182,19 @@
     const auto first = slots.begin(start);
     const auto second = slots.begin(start);
     instant now = start;
-    while (slots.wait_before(*first, piece, now) == duration(0))
+    while (slots.pacing_delay(*first, piece, now) == duration(0))
         continue;
     // Both may send by then, but the first is about to.
     now += milliseconds(100);
-    CHECK(slots.wait_before(*second, piece, now) > duration(0));
-    CHECK(slots.wait_before(*first, piece, now) == duration(0));
-    CHECK(slots.wait_before(*second, piece, now) == duration(0));
+    CHECK(slots.pacing_delay(*second, piece, now) > duration(0));
+    CHECK(slots.pacing_delay(*first, piece, now) == duration(0));
+    CHECK(slots.pacing_delay(*second, piece, now) == duration(0));
     // One that ended holds up nobody.
-    while (slots.wait_before(*first, piece, now) == duration(0))
+    while (slots.pacing_delay(*first, piece, now) == duration(0))
         continue;
     slots.end(*first);
     now += milliseconds(100);
-    CHECK(slots.wait_before(*second, piece, now) == duration(0));
+    CHECK(slots.pacing_delay(*second, piece, now) == duration(0));
 }
 
 // Story: two nodes fetched half a megabyte from a small host. While the older
@@ -206,9 +206,9 @@
         for (const std::size_t bytes : {500'000, 1'100'000}) {
             shared_link all(link);
             all.fill(bytes);
-            all.run_for(longest_transfer);
+            all.run_for(transfer_timeout);
             UNSIGNED_LONGS_EQUAL(0, all.left());
-            CHECK(all.longest_silence_seen() < longest_silence * 2 / 3);
+            CHECK(all.longest_silence_seen() < transfer_idle_timeout * 2 / 3);
         }
     }
 }
@@ -219,9 +219,9 @@
 {
     shared_link all(8e5);
     all.fill(100'000);
-    all.run_for(longest_transfer);
+    all.run_for(transfer_timeout);
     UNSIGNED_LONGS_EQUAL(0, all.left());
-    CHECK(all.longest_silence_seen() < longest_silence);
+    CHECK(all.longest_silence_seen() < transfer_idle_timeout);
 }
 
 // The bytes that the younger one gets meanwhile, its part of what may be sent
@@ -232,7 +232,7 @@
     shared_link all(small_link);
     const instant begun = all.now();
     all.fill(500'000);
-    all.run_for(longest_transfer);
+    all.run_for(transfer_timeout);
     // Half of the link, less what may be sent at once.
     const duration alone = from_seconds((500'000 - 125'000) * 8 / 5e6);
     CHECK(all.first_done() - begun < alone * 4 / 3);
@@ -249,7 +249,7 @@
     slots.note_served(version, "7");
     slots.note_served(old, "late");
     const auto named = slots.served(version);
-    UNSIGNED_LONGS_EQUAL(most_named, named.size());
+    UNSIGNED_LONGS_EQUAL(max_referrals, named.size());
     STRCMP_EQUAL("7", named.at(0).c_str());
     STRCMP_EQUAL("11", named.at(1).c_str());
     STRCMP_EQUAL("4", named.back().c_str());
--- a/libs/mesh/news_lateness.cpp
+++ b/libs/mesh/update_lateness.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/mesh/news_lateness.hpp"
+#include "fennelladder/mesh/update_lateness.hpp"
 
 #include "fennelladder/base/part_of.hpp"
 
@@ -21,7 +21,7 @@
 
 } // namespace
 
-void news_lateness::note(duration delay, instant now)
+void update_lateness::note(duration delay, instant now)
 {
     if (now - now_.began >= window_length) {
         before_ = now_;
@@ -32,7 +32,7 @@
 
 /// What was seen last holds for as long as the bound: on a link that is full
 /// some messages are lost.
-std::optional<duration> news_lateness::delay(instant now) const
+std::optional<duration> update_lateness::delay(instant now) const
 {
     std::optional<duration> out;
     for (const window& it : {before_, now_})
@@ -41,7 +41,7 @@
     return out;
 }
 
-std::optional<duration> news_lateness::longest_delay(instant now) const
+std::optional<duration> update_lateness::max_delay(instant now) const
 {
     std::optional<duration> out;
     for (const window& it : {before_, now_})
@@ -50,12 +50,12 @@
     return out;
 }
 
-bool news_lateness::is_overdue(std::optional<duration> age) const
+bool update_lateness::is_overdue(std::optional<duration> age) const
 {
     return age && *age > part_of(bound_, usable_part);
 }
 
-bool news_lateness::is_late(std::optional<duration> age, instant now) const
+bool update_lateness::is_late(std::optional<duration> age, instant now) const
 {
     const auto way = delay(now);
     if (!age || !way || *way < part_of(bound_, least_delay_part))
