--- a/libs/mesh/news_lateness_test.cpp
+++ b/libs/mesh/update_lateness_test.cpp
@@ -1,11 +1,11 @@
-#include "fennelladder/mesh/news_lateness.hpp"
-#include "fennelladder/mesh/way_delay.hpp"
+#include "fennelladder/mesh/transit_delay.hpp"
+#include "fennelladder/mesh/update_lateness.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace fennelladder;
-using fennelladder::mesh::news_lateness;
-using fennelladder::mesh::way_delay;
+using fennelladder::mesh::transit_delay;
+using fennelladder::mesh::update_lateness;
 
 namespace {
 
@@ -18,12 +18,12 @@
 
 } // namespace
 
-TEST_GROUP(way_delay)
+TEST_GROUP(transit_delay)
 {
-    mesh::way_delay way;
+    mesh::transit_delay way;
 };
 
-TEST(way_delay, what_clocks_differ_by_is_no_delay)
+TEST(transit_delay, what_clocks_differ_by_is_no_delay)
 {
     CHECK(way.take(at(-70'000), at(0)) == duration(0));
     CHECK(way.take(at(-69'000), at(1'000)) == duration(0));
@@ -31,7 +31,7 @@
     CHECK(way.take(at(-67'000), at(2'990)) == duration(0));
 }
 
-TEST(way_delay, a_faster_message_shows_that_all_before_waited)
+TEST(transit_delay, a_faster_message_shows_that_all_before_waited)
 {
     way.take(at(0), at(900));
     CHECK(way.take(at(1'000), at(1'900)) == duration(0));
@@ -42,7 +42,7 @@
 // Story: the clocks of two hosts run at speeds that differ by a ten-thousandth.
 // After some hours a node would take each message of the other for late, and
 // refuse all its callers.
-TEST(way_delay, clocks_may_drift)
+TEST(transit_delay, clocks_may_drift)
 {
     for (int i = 0; i < 24 * 3600; ++i) {
         const instant sent = instant(milliseconds(1'000'000)) + seconds(i);
@@ -51,9 +51,9 @@
     }
 }
 
-TEST_GROUP(news_lateness)
+TEST_GROUP(update_lateness)
 {
-    mesh::news_lateness it{bound};
+    mesh::update_lateness it{bound};
 
     void hear(duration delay, int from_ms, int to_ms)
     {
@@ -65,7 +65,7 @@
 // Story: a team sends a small host more than its link carries. Beacons that
 // were up to date when they were sent are here 2.5 s later; a target may have
 // left meanwhile, and a request reaches it after more than the 3 s allowed.
-TEST(news_lateness, a_full_link_makes_a_host_late)
+TEST(update_lateness, a_full_link_makes_a_host_late)
 {
     hear(milliseconds(0), 0, 1'000);
     CHECK(!it.is_late(milliseconds(200), at(1'000)));
@@ -77,7 +77,7 @@
 
 // Story: the platform is away for eight seconds, and nobody's news are in
 // time. A fleet that refused its callers for that would be down.
-TEST(news_lateness, news_that_are_old_for_all_are_not_late)
+TEST(update_lateness, news_that_are_old_for_all_are_not_late)
 {
     hear(milliseconds(10), 0, 8'000);
     CHECK(!it.is_late(seconds(8), at(8'000)));
@@ -87,14 +87,14 @@
 
 // Story: a host is cut off from its peers and from the platform, and callers
 // reach it. What it knows is all that can serve them.
-TEST(news_lateness, a_host_that_hears_nothing_is_not_late)
+TEST(update_lateness, a_host_that_hears_nothing_is_not_late)
 {
     CHECK(!it.is_late(seconds(8), at(0)));
     hear(milliseconds(10), 0, 1'000);
     CHECK(!it.is_late(seconds(4), at(5'000)));
 }
 
-TEST(news_lateness, one_message_that_was_held_up_says_nothing)
+TEST(update_lateness, one_message_that_was_held_up_says_nothing)
 {
     hear(milliseconds(10), 0, 2'000);
     it.note(milliseconds(2'600), at(2'000));
@@ -102,7 +102,7 @@
 }
 
 // Most messages are lost where a link is full.
-TEST(news_lateness, what_was_seen_last_holds_for_a_while)
+TEST(update_lateness, what_was_seen_last_holds_for_a_while)
 {
     hear(milliseconds(2'400), 0, 1'000);
     CHECK(it.is_late(milliseconds(2'500), at(2'500)));
@@ -112,7 +112,7 @@
 // Story: a small host hears in a beacon that there is a newer configuration;
 // the configuration itself waits on its full link for four seconds. It goes on
 // by the one it has, and refuses a route that was added.
-TEST(news_lateness, what_is_known_to_be_replaced_is_soon_overdue)
+TEST(update_lateness, what_is_known_to_be_replaced_is_soon_overdue)
 {
     CHECK(!it.is_overdue(std::nullopt));
     CHECK(!it.is_overdue(milliseconds(2'200)));
@@ -120,15 +120,15 @@
 }
 
 // Guards against a queue that grows faster than its shortest wait shows.
-TEST(news_lateness, the_longest_delay_is_that_of_the_worse_of_two_windows)
+TEST(update_lateness, the_longest_delay_is_that_of_the_worse_of_two_windows)
 {
-    mesh::news_lateness lateness(seconds(3));
+    mesh::update_lateness lateness(seconds(3));
     const instant at(seconds(200));
-    CHECK(!lateness.longest_delay(at));
+    CHECK(!lateness.max_delay(at));
     lateness.note(milliseconds(40), at);
     lateness.note(milliseconds(700), at + milliseconds(600));
     lateness.note(milliseconds(800), at + milliseconds(700));
     const instant later = at + milliseconds(800);
     CHECK(lateness.delay(later) == duration(milliseconds(40)));
-    CHECK(lateness.longest_delay(later) == duration(milliseconds(700)));
+    CHECK(lateness.max_delay(later) == duration(milliseconds(700)));
 }
--- a/libs/mesh/watch_duty.cpp
+++ b/libs/mesh/watch_policy.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/mesh/watch_duty.hpp"
+#include "fennelladder/mesh/watch_policy.hpp"
 
 #include "fennelladder/base/part_of.hpp"
 
@@ -48,42 +48,42 @@
 
 } // namespace
 
-news_limits news_limits_for(duration bound, news_size size)
+staleness_limits staleness_limits_for(duration bound, update_size size)
 {
-    news_limits out;
-    out.watch_wait = part_of(bound, watch_share);
+    staleness_limits out;
+    out.watch_timeout = part_of(bound, watch_share);
     out.stale_after = part_of(bound, stale_share);
     out.overdue_after = part_of(bound, overdue_share);
-    if (size == news_size::bulk)
+    if (size == update_size::bulk)
         out.stale_after = std::max(part_of(bound, stale_bulk_share),
-                                   out.watch_wait + way_of_beacons);
+                                   out.watch_timeout + way_of_beacons);
     return out;
 }
 
-double limit_factor(const size_place& size, double draw)
+double limit_factor(const size_class& size, double draw)
 {
     if (!size.large)
-        return small_from + draw * (largest_spread - small_from);
+        return small_from + draw * (max_limit_factor - small_from);
     const double width =
-        std::max(large_width, size.large_part * (largest_spread - 1));
+        std::max(large_width, size.large_fraction * (max_limit_factor - 1));
     return 1 + draw * width;
 }
 
-watch_duty::watch_duty(news_limits limits, double draw)
+watch_policy::watch_policy(staleness_limits limits, double draw)
     : limits_(limits), draw_(std::clamp(draw, 0.0, 1.0))
 {}
 
-bool watch_duty::is_stale(const news_view& view) const
+bool watch_policy::is_stale(const watch_inputs& view) const
 {
     const double factor = limit_factor(view.size, draw_);
     return view.age > part_of(limits_.stale_after, factor) ||
            view.announced_for > part_of(limits_.overdue_after, factor);
 }
 
-watch_reason watch_duty::decide(const news_view& view)
+watch_reason watch_policy::decide(const watch_inputs& view)
 {
     reason_ = watch_reason::none;
-    if (view.rank < watchers)
+    if (view.rank < watcher_count)
         reason_ = watch_reason::ranked;
     else if (!view.age)
         reason_ = watch_reason::unknown;
@@ -94,8 +94,8 @@
     return reason_;
 }
 
-void watch_duty::answered(duration elapsed, std::optional<duration> age,
-                          random_source& random)
+void watch_policy::record_success(duration elapsed, std::optional<duration> age,
+                                  random_source& random)
 {
     if (reason_ != watch_reason::stale)
         return;
@@ -108,8 +108,7 @@
         standing_in_ = false;
 }
 
-duration pause_after_failures(random_source& random, int failures,
-                              watch_reason reason)
+duration retry_delay(random_source& random, int failures, watch_reason reason)
 {
     const duration longest =
         reason == watch_reason::ranked ? longest_ranked_pause : longest_pause;
--- a/libs/mesh/watch_duty_test.cpp
+++ b/libs/mesh/watch_policy_test.cpp
@@ -2,10 +2,10 @@
 // virtual time: rosters, ages and decisions are the product's, messages arrive
 // on the next step, and the platform answers whom it isn't cut off from.
 
-#include "fennelladder/mesh/watch_duty.hpp"
+#include "fennelladder/mesh/watch_policy.hpp"
 
 #include "fennelladder/mesh/freshness.hpp"
-#include "fennelladder/mesh/roster.hpp"
+#include "fennelladder/mesh/peer_view.hpp"
 
 #include <CppUTest/TestHarness.h>
 #include <algorithm>
@@ -19,8 +19,9 @@
 namespace {
 
 constexpr duration bound = seconds(3);
-constexpr news_limits limits = {seconds(1), milliseconds(1800), seconds(1)};
-constexpr news_view calm{9, milliseconds(500), std::nullopt, {}};
+constexpr staleness_limits limits = {seconds(1), milliseconds(1800),
+                                     seconds(1)};
+constexpr watch_inputs calm{9, milliseconds(500), std::nullopt, {}};
 
 /// Of 4,450 routes, as the platform lists them.
 constexpr double configuration_bytes = 1e6;
@@ -48,12 +49,13 @@
 {
     int size = 60;
     int large = 10;
-    news_size kind = news_size::packets;
+    update_size kind = update_size::packets;
 };
 
 struct sim_node
 {
-    sim_node(int i, double power, std::uint64_t seed, news_limits its_limits)
+    sim_node(int i, double power, std::uint64_t seed,
+             staleness_limits its_limits)
         : name("n" + std::to_string(i)), capacity(power),
           nodes(host_id(name), {}), random(seed),
           duty(its_limits, random.unit())
@@ -63,9 +65,9 @@
 
     std::string name;
     double capacity;
-    mesh::roster nodes;
+    mesh::peer_view nodes;
     random_source random;
-    watch_duty duty;
+    watch_policy duty;
     freshness known;
     platform_link platform = platform_link::good;
     bool reached = true;
@@ -98,7 +100,7 @@
 {
 public:
     explicit sim_fleet(const sim_setup& setup = {})
-        : kind_(setup.kind), limits_(news_limits_for(bound, setup.kind))
+        : kind_(setup.kind), limits_(staleness_limits_for(bound, setup.kind))
     {
         for (int i = 0; i < setup.size; ++i)
             all.push_back(std::make_unique<sim_node>(
@@ -161,11 +163,11 @@
         }
     }
 
-    beacon beacon_of(sim_node& it) const
+    node_heartbeat beacon_of(sim_node& it) const
     {
-        beacon out;
+        node_heartbeat out;
         out.host = host_id(it.name);
-        out.life = node_life(1);
+        out.life = node_incarnation(1);
         out.sequence = ++it.sequence;
         out.state = node_state::ready;
         out.peer_address = it.name;
@@ -175,18 +177,18 @@
         return out;
     }
 
-    void hear(sim_node& to, const beacon& from)
+    void hear(sim_node& to, const node_heartbeat& from)
     {
         if (to.frozen || to.name == from.host.str())
             return;
-        to.nodes.hear(from, now);
+        to.nodes.on_heartbeat(from, now);
         if (from.targets_age)
             to.known.confirm(now - *from.targets_age - hop_allowance);
     }
 
     void tell_all(sim_node& from)
     {
-        const beacon message = beacon_of(from);
+        const node_heartbeat message = beacon_of(from);
         for (const auto& it : all)
             hear(*it, message);
     }
@@ -196,7 +198,7 @@
         const auto due = from.nodes.due(now);
         if (due.empty())
             return;
-        const beacon message = beacon_of(from);
+        const node_heartbeat message = beacon_of(from);
         for (const std::string& name : due)
             hear(*all[std::stoul(name.substr(1))], message);
     }
@@ -213,7 +215,7 @@
     {
         if (it.calling)
             return;
-        const size_place place = it.nodes.place_by_size(it.capacity, now);
+        const size_class place = it.nodes.classify_size(it.capacity, now);
         it.reason = it.duty.decide({rank(it), it.known.age(now), {}, place});
         if (it.reason == watch_reason::none) {
             it.listed = false;
@@ -240,7 +242,7 @@
         it.probing = probing;
         it.watching = it.listed && !probing;
         it.begun = now;
-        duration lasts = it.watching ? limits_.watch_wait : call_time;
+        duration lasts = it.watching ? limits_.watch_timeout : call_time;
         if (!it.watching && !probing) {
             ++record_->listings;
             record_->small_listings += it.is_large() ? 0 : 1;
@@ -257,7 +259,7 @@
     /// After the first byte, until what is listed is read.
     duration listing_time(const sim_node& it) const
     {
-        if (kind_ == news_size::packets)
+        if (kind_ == update_size::packets)
             return duration(0);
         const double bits = 8 * configuration_bytes;
         return it.is_large()
@@ -286,7 +288,7 @@
             it.listed = true;
             // What is listed is as old as the first byte of it.
             it.known.confirm(it.watching ? now : it.begun + call_time);
-            it.duty.answered(now - it.begun, before, it.random);
+            it.duty.record_success(now - it.begun, before, it.random);
             if (before > limits_.stale_after)
                 tell_all(it);
         }
@@ -295,39 +297,39 @@
 
     void fail(sim_node& it)
     {
-        it.duty.failed();
+        it.duty.record_failure();
         ++it.failures;
-        it.next_try =
-            now + pause_after_failures(it.random, it.failures, it.reason);
+        it.next_try = now + retry_delay(it.random, it.failures, it.reason);
         note_contact(it, false);
     }
 
-    news_size kind_;
-    news_limits limits_;
+    update_size kind_;
+    staleness_limits limits_;
     run_record* record_ = nullptr;
 };
 
 } // namespace
 
-TEST_GROUP(watch_duty)
+TEST_GROUP(watch_policy)
 {
-    watch_duty duty{limits, 0};
+    watch_policy duty{limits, 0};
     random_source random{1};
 };
 
-TEST(watch_duty, limits_leave_a_part_of_the_bound_for_the_way_to_the_others)
+TEST(watch_policy, limits_leave_a_part_of_the_bound_for_the_way_to_the_others)
 {
     for (const duration it : {seconds(2), seconds(3)}) {
-        for (const news_size size : {news_size::packets, news_size::bulk}) {
-            const news_limits got = news_limits_for(it, size);
-            CHECK(got.watch_wait < got.stale_after);
-            CHECK(to_seconds(got.stale_after) * largest_spread <
+        for (const update_size size :
+             {update_size::packets, update_size::bulk}) {
+            const staleness_limits got = staleness_limits_for(it, size);
+            CHECK(got.watch_timeout < got.stale_after);
+            CHECK(to_seconds(got.stale_after) * max_limit_factor <
                   0.76 * to_seconds(it));
         }
     }
 }
 
-TEST(watch_duty, the_first_two_watch_whatever_the_age)
+TEST(watch_policy, the_first_two_watch_whatever_the_age)
 {
     const struct
     {
@@ -347,99 +349,96 @@
         {59, {}, {}, watch_reason::unknown},
     };
     for (const auto& it : rows) {
-        watch_duty one(limits, 0);
+        watch_policy one(limits, 0);
         CHECK(one.decide({it.rank, it.age, it.announced, {}}) == it.expected);
     }
 }
 
-TEST(watch_duty, a_nodes_own_factor_lengthens_its_limit)
+TEST(watch_policy, a_nodes_own_factor_lengthens_its_limit)
 {
-    watch_duty late(limits, 1);
+    watch_policy late(limits, 1);
     CHECK(late.decide({9, milliseconds(2200), {}, {}}) == watch_reason::none);
     CHECK(late.decide({9, milliseconds(2300), {}, {}}) == watch_reason::stale);
 }
 
-TEST(watch_duty, large_hosts_ask_before_any_small_one)
+TEST(watch_policy, large_hosts_ask_before_any_small_one)
 {
     const double part = 8.0 / 60;
     CHECK(limit_factor({true, part}, 1) <= 1.051);
     CHECK(limit_factor({false, part}, 0) >= 1.149);
-    CHECK(limit_factor({false, part}, 1) <= largest_spread);
+    CHECK(limit_factor({false, part}, 1) <= max_limit_factor);
     DOUBLES_EQUAL(1, limit_factor({true, part}, 0), 1e-9);
 }
 
 // Guards against a fleet of equal hosts, all of them large, that ask together.
-TEST(watch_duty, equal_hosts_ask_over_the_whole_spread)
+TEST(watch_policy, equal_hosts_ask_over_the_whole_spread)
 {
     DOUBLES_EQUAL(1, limit_factor({true, 1}, 0), 1e-9);
-    DOUBLES_EQUAL(largest_spread, limit_factor({true, 1}, 1), 1e-9);
+    DOUBLES_EQUAL(max_limit_factor, limit_factor({true, 1}, 1), 1e-9);
 }
 
 // Story: a version was announced and its holder went away with it. The rest
 // of the bound has to do for a megabyte over a small link.
-TEST(watch_duty, what_was_announced_is_asked_for_early)
+TEST(watch_policy, what_was_announced_is_asked_for_early)
 {
     const duration transfer =
         from_seconds(8 * configuration_bytes / small_link);
     for (const duration it : {seconds(2), seconds(3)}) {
         const duration overdue =
-            news_limits_for(it, news_size::bulk).overdue_after;
-        CHECK(to_seconds(overdue) * largest_spread +
+            staleness_limits_for(it, update_size::bulk).overdue_after;
+        CHECK(to_seconds(overdue) * max_limit_factor +
                   to_seconds(transfer + small_time_to_read) <
               to_seconds(it));
     }
 }
 
-TEST(watch_duty, one_that_asked_stays_while_nobody_else_does)
+TEST(watch_policy, one_that_asked_stays_while_nobody_else_does)
 {
     CHECK(duty.decide({9, seconds(2), {}, {}}) == watch_reason::stale);
-    duty.answered(call_time, seconds(2), random);
+    duty.record_success(call_time, seconds(2), random);
     for (int i = 0; i < 50; ++i) {
         CHECK(duty.decide(calm) == watch_reason::stale);
-        duty.answered(seconds(1), seconds(1), random);
+        duty.record_success(seconds(1), seconds(1), random);
     }
 }
 
-TEST(watch_duty, one_that_hears_of_other_watchers_leaves)
+TEST(watch_policy, one_that_hears_of_other_watchers_leaves)
 {
     (void)duty.decide({9, seconds(2), {}, {}});
-    duty.answered(call_time, seconds(2), random);
+    duty.record_success(call_time, seconds(2), random);
     int watches = 0;
     while (duty.decide(calm) == watch_reason::stale) {
-        duty.answered(seconds(1), milliseconds(300), random);
+        duty.record_success(seconds(1), milliseconds(300), random);
         CHECK(++watches < 30);
     }
 }
 
-TEST(watch_duty, one_that_fails_or_ranks_first_is_no_stand_in_any_more)
+TEST(watch_policy, one_that_fails_or_ranks_first_is_no_stand_in_any_more)
 {
     (void)duty.decide({9, seconds(2), {}, {}});
-    duty.answered(call_time, seconds(2), random);
-    duty.failed();
+    duty.record_success(call_time, seconds(2), random);
+    duty.record_failure();
     CHECK(duty.decide(calm) == watch_reason::none);
     (void)duty.decide({9, seconds(2), {}, {}});
-    duty.answered(call_time, seconds(2), random);
+    duty.record_success(call_time, seconds(2), random);
     CHECK(duty.decide({1, seconds(1), {}, {}}) == watch_reason::ranked);
     CHECK(duty.decide(calm) == watch_reason::none);
 }
 
-TEST(watch_duty, pauses_grow_and_end_within_two_seconds_with_the_dial)
+TEST(watch_policy, pauses_grow_and_end_within_two_seconds_with_the_dial)
 {
     for (int failures = 1; failures < 40; ++failures) {
-        const auto ranked =
-            pause_after_failures(random, failures, watch_reason::ranked);
-        const auto other =
-            pause_after_failures(random, failures, watch_reason::stale);
+        const auto ranked = retry_delay(random, failures, watch_reason::ranked);
+        const auto other = retry_delay(random, failures, watch_reason::stale);
         CHECK(ranked <= seconds(1));
         CHECK(other <= milliseconds(1500));
         if (failures > 5)
             CHECK(other >= milliseconds(750));
     }
-    CHECK(pause_after_failures(random, 1, watch_reason::stale) <=
-          milliseconds(100));
+    CHECK(retry_delay(random, 1, watch_reason::stale) <= milliseconds(100));
 }
 
-TEST(watch_duty, only_a_node_that_would_watch_probes)
+TEST(watch_policy, only_a_node_that_would_watch_probes)
 {
     CHECK(should_probe(false, 1));
     CHECK(!should_probe(false, 2));
@@ -512,7 +511,7 @@
     for (const auto& it : fleet.all)
         it->platform = platform_link::good;
     fleet.run(seconds(10));
-    CHECK(fleet.rank(*fleet.all.back()) >= watchers);
+    CHECK(fleet.rank(*fleet.all.back()) >= watcher_count);
     CHECK(fleet.ranked()[0]->capacity > 100);
     CHECK(fleet.run(seconds(10)).calls <= 10 * 4);
 }
@@ -555,7 +554,7 @@
     static run_record after_watches_fell_silent(const sim_setup& setup){
         sim_fleet fleet(setup);
 const auto order = fleet.ranked();
-for (std::size_t i = 0; i < watchers; ++i)
+for (std::size_t i = 0; i < watcher_count; ++i)
     order[i]->platform = platform_link::silent;
 return fleet.run(seconds(10));
 }
@@ -567,7 +566,8 @@
 // each to be told that, since all of them began before the first was done.
 TEST(listing_fleet, large_hosts_spare_the_small_ones_the_configuration)
 {
-    const run_record got = after_watches_fell_silent({60, 8, news_size::bulk});
+    const run_record got =
+        after_watches_fell_silent({60, 8, update_size::bulk});
     CHECK(got.oldest <= bound);
     // Eight large ones, of which two tried again on a new connection.
     CHECK_COMPARE(got.bytes(), <=, 10 * configuration_bytes);
@@ -576,14 +576,14 @@
 
 TEST(listing_fleet, equal_hosts_spare_some_of_themselves)
 {
-    const run_record got = after_watches_fell_silent({8, 8, news_size::bulk});
+    const run_record got = after_watches_fell_silent({8, 8, update_size::bulk});
     CHECK(got.oldest <= bound);
     CHECK_COMPARE(got.bytes(), <=, 5 * configuration_bytes);
 }
 
 TEST(listing_fleet, nobody_lists_while_all_is_well)
 {
-    sim_fleet fleet({60, 8, news_size::bulk});
+    sim_fleet fleet({60, 8, update_size::bulk});
     LONGS_EQUAL(0, fleet.run(seconds(60)).listings);
 }
 
@@ -592,7 +592,7 @@
 TEST(listing_fleet, a_small_host_alone_is_done_within_the_bound)
 {
     for (std::size_t i = 10; i < sim_fleet::size; i += 7) {
-        sim_fleet fleet({60, 8, news_size::bulk});
+        sim_fleet fleet({60, 8, update_size::bulk});
         for (const auto& it : fleet.all)
             it->platform = platform_link::cut;
         fleet.all[i]->platform = platform_link::good;
