--- a/include/fennelladder/edge/allotment_writer.hpp
+++ b/include/fennelladder/edge/allotment_writer.hpp
@@ -3,16 +3,16 @@
 //     allotment_writer writer(tables, client, [&](const token_amounts& got) {
 //         ... credit the purse ...
 //     });
-//     if (co_await writer.renew(most_age))
-//         co_await writer.take_out(wishes);
+//     if (co_await writer.refresh(most_age))
+//         co_await writer.withdraw(wishes);
 //
 // A write whose reply was lost is in doubt: nothing else is written until it
-// is known whether it took effect. renew() finds out (see
+// is known whether it took effect. refresh() finds out (see
 // prepaid/allotment_record.hpp).
 //
 // A record that can't be read is left as it is: nothing is taken out of it or
 // written over it, the last good one stays known, and the purse lives on what
-// it has. It is read again by each renew() that follows.
+// it has. It is read again by each refresh() that follows.
 //
 // Not thread safe; one call at a time.
 
@@ -41,11 +41,11 @@
     /// Settles what is in doubt; reads the record if it isn't known or was
     /// read longer than `most_age` ago. False when a call failed, or when
     /// something is still in doubt.
-    awaitable<bool> renew(duration most_age);
+    awaitable<bool> refresh(duration most_age);
 
     /// Takes out as much of `wishes` as is left. False when it isn't known
-    /// to have taken effect. Precondition: renew() was true.
-    awaitable<bool> take_out(const prepaid::token_amounts& wishes);
+    /// to have taken effect. Precondition: refresh() was true.
+    awaitable<bool> withdraw(const prepaid::token_amounts& wishes);
 
     /// The record as last read or written; unset until then.
     const std::optional<prepaid::allotment_record>& record() const
--- a/include/fennelladder/edge/attempt.hpp
+++ b/include/fennelladder/edge/attempt.hpp
@@ -17,10 +17,10 @@
 
 #include "fennelladder/dispatch/attempt_policy.hpp"
 #include "fennelladder/dispatch/target_book.hpp"
-#include "fennelladder/edge/caller_reply.hpp"
 #include "fennelladder/edge/event_splitter.hpp"
-#include "fennelladder/edge/exchange.hpp"
 #include "fennelladder/edge/node_tables.hpp"
+#include "fennelladder/edge/request_cancellation.hpp"
+#include "fennelladder/edge/response_writer.hpp"
 #include "platform/request_headers.hpp"
 
 #include <string>
@@ -36,25 +36,25 @@
     std::string body;
     bool has_body = false;
     adapter::request_facts facts;
-    instant arrived;     ///< When its head was read.
-    bool dialed = false; ///< It is the first on its connection.
+    instant arrived;                  ///< When its head was read.
+    bool first_on_connection = false; ///< It is the first on its connection.
 };
 
 struct attempt_input
 {
     node_tables& tables;
-    exchange& course;
+    request_cancellation& cancellation;
     const caller_request& request;
-    const catalog::route& way;
+    const catalog::route& route;
     const dispatch::choice& target;
-    adapter::passing_on order;
-    caller_reply& reply;
+    adapter::passing_on forwarding;
+    response_writer& reply;
     event_splitter& events;
     /// Rest that a kept connection may have had at most.
-    duration longest_rest{0};
+    duration max_idle_time{0};
     /// Silence after which the attempt is given up; unset: none.
-    std::optional<duration> first_byte_limit;
-    std::optional<duration> gap_limit;
+    std::optional<duration> first_byte_timeout;
+    std::optional<duration> progress_timeout;
 };
 
 struct attempt_outcome
@@ -63,17 +63,17 @@
     dispatch::target_evidence evidence = dispatch::target_evidence::nothing;
     std::optional<instant> sent_at; ///< When bytes of the request went out.
     bool first_byte = false;        ///< An answer to it began.
-    bool kept_connection = false;   ///< Not dialled for this attempt.
+    bool reused_connection = false; ///< Not dialled for this attempt.
     /// A kept connection ended before any answer: most likely before the
     /// request came.
-    bool idle_race = false;
+    bool stale_connection = false;
     /// The target was told that the caller is gone, and ended the connection
     /// without having sent anything: it made no token.
-    bool nothing_made = false;
+    bool produced_nothing = false;
     /// A part of an answer that is no stream was passed on: nothing else can
     /// follow it.
-    bool part_stands_alone = false;
-    answer_head head; ///< Of a failure that may be passed on.
+    bool partial_body_sent = false;
+    response_head head; ///< Of a failure that may be passed on.
     std::string body;
     std::string detail; ///< For the log.
 };
--- a/include/fennelladder/edge/caller_server.hpp
+++ b/include/fennelladder/edge/caller_server.hpp
@@ -3,9 +3,9 @@
 //
 //     caller_server server(tables, driver, limits);
 //     server.start(address);
-//     server.announce_leaving();          // when the node leaves
+//     server.start_draining();          // when the node leaves
 //     server.stop_accepting();
-//     server.refuse_new();
+//     server.reject_new_requests();
 //
 // Bounds that keep a flood from ending the process: connections, requests
 // under way, and bytes of bodies held; what exceeds them is answered 503 at
@@ -49,16 +49,16 @@
     void stop_accepting();
 
     /// From now on each answer ends its connection.
-    void announce_leaving();
+    void start_draining();
 
     /// Refuses new requests; connections on which none has come are closed.
-    void refuse_new();
+    void reject_new_requests();
 
     /// Connections of callers.
     std::size_t sessions() const { return sessions_->size(); }
 
     /// Requests that are being read, served or answered.
-    std::size_t under_way() const;
+    std::size_t requests_in_flight() const;
 
 private:
     friend class caller_session;
--- a/include/fennelladder/edge/decision_options.hpp
+++ b/include/fennelladder/edge/decision_options.hpp
@@ -51,7 +51,7 @@
     dispatch::retry_allowance_options retries;
     entry_options entry;
     request_options requests;
-    target_pool_options pool;
+    connection_pool_options pool;
     /// Asks other nodes for tokens before a request is refused.
     bool lends_tokens = true;
     /// Refuses callers while news are late, see mesh/news_lateness.hpp.
--- a/include/fennelladder/edge/edge_node.hpp
+++ b/include/fennelladder/edge/edge_node.hpp
@@ -62,9 +62,9 @@
     void reload_settings();
     void log_tokens();
     std::vector<entry_node> entry_nodes() const;
-    simple_answer answer_entry(const simple_request& asked);
-    simple_answer answer_readiness(const simple_request& asked);
-    simple_answer answer_metrics(const simple_request& asked);
+    simple_response answer_entry(const simple_request& asked);
+    simple_response answer_readiness(const simple_request& asked);
+    simple_response answer_metrics(const simple_request& asked);
     void update_gauges();
 
     asio::io_context& io_;
@@ -73,7 +73,7 @@
     node_tables tables_;
     platform_client client_;
     mesh_node mesh_;
-    token_desk desk_;
+    token_allocator desk_;
     platform_feed feed_;
     request_driver driver_;
     caller_server callers_;
--- a/include/fennelladder/edge/event_splitter.hpp
+++ b/include/fennelladder/edge/event_splitter.hpp
@@ -26,7 +26,7 @@
 public:
     /// Bytes of one event that are kept before its end has come; a longer
     /// one is no event of ours.
-    static constexpr std::size_t longest_event = 262'144;
+    static constexpr std::size_t max_event_bytes = 262'144;
 
     /// Takes bytes of the stream. False when an event grows too long, or the
     /// ids show that one is missing.
@@ -36,10 +36,10 @@
     std::string take();
 
     /// What came after the last whole event.
-    const std::string& rest() const { return pending_; }
+    const std::string& incomplete() const { return pending_; }
 
     /// A new target takes over: what it sends next begins a new event.
-    void restart() { pending_.clear(); }
+    void discard_incomplete() { pending_.clear(); }
 
     /// Id of the last whole event; empty before the first.
     const std::string& last_id() const { return last_id_; }
--- a/include/fennelladder/edge/second_look.hpp
+++ b/include/fennelladder/edge/expiry_check.hpp
@@ -1,12 +1,12 @@
 // Whether a limit has really passed, for the handler of a timer on a loop that
 // may have stood still.
 //
-//     second_look<instant> look;
+//     expiry_check<instant> look;
 //     ... the timer's handler:
-//     if (look.has_passed(limit, now))
+//     if (look.has_expired(limit, now))
 //         ... give up ...
 //     else
-//         ... wait until look.due(limit) ...
+//         ... wait until look.next_check(limit) ...
 //
 // Failure it guards against: the node's loop stands still for longer than the
 // limit, since a megabyte is parsed on an eighth of a core or the machine gets
@@ -19,13 +19,13 @@
 //
 // Why it holds: the handler decides by the limit as it is when the handler
 // runs, not by having been called. A limit that has passed counts only at a
-// second look, `last_look` later: what waited in the kernel at the first was
+// second look, `expiry_grace` later: what waited in the kernel at the first was
 // ready before the timer of the second, so it's handled before, and whoever
 // handles it moves the limit on or has no more use for it. What is silent is
-// given up `last_look` late.
+// given up `expiry_grace` late.
 
-#ifndef FENNELLADDER_EDGE_SECOND_LOOK_HPP
-#define FENNELLADDER_EDGE_SECOND_LOOK_HPP
+#ifndef FENNELLADDER_EDGE_EXPIRY_CHECK_HPP
+#define FENNELLADDER_EDGE_EXPIRY_CHECK_HPP
 
 #include "fennelladder/base/time.hpp"
 
@@ -35,34 +35,34 @@
 
 /// From a limit that has passed to giving up. What waits needs few rounds of
 /// the loop; more would only keep what is silent for longer.
-inline constexpr duration last_look = milliseconds(20);
+inline constexpr duration expiry_grace = milliseconds(20);
 
 /// Of one limit, which may move: one with another value is looked at from the
 /// beginning. Not thread safe.
 template <class TimePoint>
-class second_look
+class expiry_check
 {
 public:
-    /// Whether `limit` had passed at a look that is `last_look` old. Notes a
+    /// Whether `limit` had passed at a look that is `expiry_grace` old. Notes a
     /// first look at one that has passed by `now`. Precondition: `now` isn't
     /// before that of an earlier call.
-    bool has_passed(TimePoint limit, TimePoint now)
+    bool has_expired(TimePoint limit, TimePoint now)
     {
         if (limit <= now && seen_ != limit) {
             seen_ = limit;
-            again_ = now + last_look;
+            again_ = now + expiry_grace;
         }
-        return due(limit) <= now;
+        return next_check(limit) <= now;
     }
 
-    /// When has_passed() may become true, as far as is known.
-    TimePoint due(TimePoint limit) const
+    /// When has_expired() may become true, as far as is known.
+    TimePoint next_check(TimePoint limit) const
     {
         return seen_ == limit ? again_ : limit;
     }
 
     /// The limit was set anew, perhaps to the value that it had.
-    void begin_anew() { seen_.reset(); }
+    void reset() { seen_.reset(); }
 
 private:
     std::optional<TimePoint> seen_; ///< A limit that had passed when seen.
--- a/include/fennelladder/edge/io.hpp
+++ b/include/fennelladder/edge/io.hpp
@@ -51,11 +51,11 @@
 
 /// Whether a read that doesn't wait failed only since nothing is there, or it
 /// was interrupted: it says nothing of the other side.
-bool is_nothing_yet(const net_error& ec);
+bool is_transient(const net_error& ec);
 
 /// How a connection ended, for the log: "closed" by the other side, "reset",
 /// or the error; empty if there was none.
-std::string end_text(const net_error& ec);
+std::string disconnect_reason(const net_error& ec);
 
 /// Replaces the port of an IP:port.
 std::string with_port(const std::string& address, std::uint16_t port);
@@ -65,7 +65,7 @@
 /// that something between the two ends has forgotten, shows neither an end
 /// nor an error; the kernel's probes and the limit on unconfirmed bytes turn
 /// it into one after about `limit`.
-void guard_silence(tcp::socket& socket, duration limit);
+void enable_keepalive(tcp::socket& socket, duration limit);
 
 /// Waits; returns at once when the timer is cancelled.
 awaitable<void> sleep_on(asio::steady_timer& timer, duration length);
--- a/include/fennelladder/edge/loop_lag.hpp
+++ b/include/fennelladder/edge/loop_lag.hpp
@@ -26,7 +26,7 @@
 public:
     /// A stall is told of for this long: what came while the loop stood still
     /// is read for a while after.
-    static constexpr duration memory = seconds(1);
+    static constexpr duration retention = seconds(1);
 
     explicit loop_lag(duration period) : period_(period) {}
 
@@ -35,7 +35,7 @@
     {
         const duration late = last_ ? now - *last_ - period_ : duration(0);
         last_ = now;
-        if (late >= longest_ || now - seen_ > memory) {
+        if (late >= longest_ || now - seen_ > retention) {
             longest_ = std::max(late, duration(0));
             seen_ = now;
         }
@@ -45,7 +45,8 @@
     /// The longest stall of late, one that lasts at `now` included.
     duration at(instant now) const
     {
-        const duration before = now - seen_ < memory ? longest_ : duration(0);
+        const duration before =
+            now - seen_ < retention ? longest_ : duration(0);
         return std::max(before, since_tick(now) - period_);
     }
 
--- a/include/fennelladder/edge/mesh_node.hpp
+++ b/include/fennelladder/edge/mesh_node.hpp
@@ -11,7 +11,7 @@
 
 #include "fennelladder/edge/news_exchange.hpp"
 #include "fennelladder/edge/node_tables.hpp"
-#include "fennelladder/edge/token_desk.hpp"
+#include "fennelladder/edge/token_allocator.hpp"
 
 #include <array>
 #include <functional>
@@ -27,7 +27,7 @@
     mesh_node(node_tables& tables, std::string address);
 
     /// Where token messages go. Call before start().
-    void connect_desk(token_desk& desk);
+    void connect_desk(token_allocator& desk);
 
     /// Fails with the reason when the address can't be used.
     status start();
@@ -86,7 +86,7 @@
 
     node_tables& tables_;
     std::string address_;
-    token_desk* desk_ = nullptr;
+    token_allocator* desk_ = nullptr;
     udp::socket socket_;
     news_exchange news_;
     telemetry::counter& sent_;
--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -151,7 +151,7 @@
     prepaid::purse purse;
     prepaid::loss_memory losses;
     mesh::roster nodes;
-    target_pool pool;
+    connection_pool pool;
     telemetry::metrics metrics;
     unreadable_objects unreadable{metrics};
     platform_contact contact;
--- a/include/fennelladder/edge/peer_stream.hpp
+++ b/include/fennelladder/edge/peer_stream.hpp
@@ -54,7 +54,7 @@
 
     /// Waits until the peer, having all it asked for, closes; false when it
     /// does not.
-    awaitable<bool> closed_by_peer();
+    awaitable<bool> wait_for_close();
 
     void close();
 
--- a/include/fennelladder/edge/exchange.hpp
+++ b/include/fennelladder/edge/request_cancellation.hpp
@@ -11,15 +11,15 @@
 // stops the target's work.
 //
 // A limit that passed while the node's loop stood still stops nothing that came
-// meanwhile: see second_look.hpp. A target that says nothing is given up
-// `last_look` later than its limit.
+// meanwhile: see expiry_check.hpp. A target that says nothing is given up
+// `expiry_grace` later than its limit.
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_EDGE_EXCHANGE_HPP
-#define FENNELLADDER_EDGE_EXCHANGE_HPP
+#ifndef FENNELLADDER_EDGE_REQUEST_CANCELLATION_HPP
+#define FENNELLADDER_EDGE_REQUEST_CANCELLATION_HPP
 
-#include "fennelladder/edge/second_look.hpp"
+#include "fennelladder/edge/expiry_check.hpp"
 #include "fennelladder/edge/socket_deadline.hpp"
 #include "fennelladder/edge/target_connection.hpp"
 
@@ -34,28 +34,30 @@
 {
     none,
     caller_left,
-    out_of_time,
-    silent ///< Of one attempt: the next begins with a clean slate.
+    deadline_exceeded,
+    idle_timeout ///< Of one attempt: the next begins with a clean slate.
 };
 
-class exchange : public std::enable_shared_from_this<exchange>
+class request_cancellation
+    : public std::enable_shared_from_this<request_cancellation>
 {
 public:
-    exchange(asio::io_context& io, const clock& time);
+    request_cancellation(asio::io_context& io, const clock& time);
 
-    /// Stops the course at `at`, unless it has ended by `last_look` after.
+    /// Stops the course at `at`, unless it has ended by `expiry_grace` after.
     void set_deadline(instant at);
 
-    /// Stops the attempt at `at` unless it's moved on before `last_look` after.
-    void set_silence_limit(std::optional<instant> at);
+    /// Stops the attempt at `at` unless it's moved on before `expiry_grace`
+    /// after.
+    void set_idle_deadline(std::optional<instant> at);
 
     /// The connection to close when the course is stopped. If the caller left
     /// before the target answered anything, only this node's side is closed
     /// at first: what the target still sent, or that it sent nothing, tells
     /// whether the team owes for its prompt, and an answer that comes whole in
     /// that time is passed on to a caller that only ended its sending side.
-    void hold(connection_ptr held);
-    void release();
+    void attach(connection_ptr held);
+    void detach();
 
     /// Called when the course is stopped, besides closing what is held: to
     /// cut the caller off when it doesn't take its answer.
@@ -64,14 +66,14 @@
     /// Asked when an attempt has been silent for as long as it may. `false`
     /// lets it go on; it is asked again while the silence lasts. Not asked
     /// without one: the attempt is stopped.
-    void on_silence(std::function<bool()> may_stop);
+    void on_idle_timeout(std::function<bool()> may_stop);
 
     /// How to find out whether the caller has left: on a busy node its end
     /// may have arrived without having been read.
-    void on_look(std::function<void()> look);
+    void on_caller_check(std::function<void()> look);
 
     /// Looks now. Stops the course if the caller has left.
-    void look_for_caller();
+    void check_caller();
 
     /// Once for good; only a silence may be followed by another reason.
     void stop(stop_reason why);
@@ -79,13 +81,13 @@
 
     /// Stops the course since the caller's connection ended: `how` is what
     /// reading from it gave.
-    void stop_without_caller(net_error how);
+    void stop_caller_left(net_error how);
 
-    /// What stop_without_caller() was told; no error before it.
-    const net_error& caller_end() const { return caller_end_; }
+    /// What stop_caller_left() was told; no error before it.
+    const net_error& caller_disconnect() const { return caller_end_; }
 
     /// After a silent attempt.
-    void clear_silence();
+    void clear_idle_timeout();
 
     /// Nothing may stop it any more.
     void end();
@@ -102,8 +104,8 @@
     std::optional<instant> armed_for_;
     std::optional<instant> deadline_;
     std::optional<instant> silence_limit_;
-    second_look<instant> deadline_look_;
-    second_look<instant> silence_look_;
+    expiry_check<instant> deadline_look_;
+    expiry_check<instant> silence_look_;
     connection_ptr held_;
     std::optional<socket_deadline> farewell_; ///< After close_in_order().
     std::function<void(stop_reason)> then_;
@@ -114,7 +116,7 @@
     bool ended_ = false;
 };
 
-using exchange_ptr = std::shared_ptr<exchange>;
+using request_cancellation_ptr = std::shared_ptr<request_cancellation>;
 
 } // namespace fennelladder::edge
 
--- a/include/fennelladder/edge/request_driver.hpp
+++ b/include/fennelladder/edge/request_driver.hpp
@@ -15,25 +15,25 @@
 #include "fennelladder/edge/attempt.hpp"
 #include "fennelladder/edge/node_tables.hpp"
 #include "fennelladder/edge/target_prober.hpp"
-#include "fennelladder/edge/token_desk.hpp"
+#include "fennelladder/edge/token_allocator.hpp"
 
 namespace fennelladder::edge {
 
 class request_driver
 {
 public:
-    request_driver(node_tables& tables, token_desk& desk);
+    request_driver(node_tables& tables, token_allocator& desk);
 
     /// Answers the request. Afterwards the reply is either finished or the
     /// connection must be closed. Precondition: `course` is fresh.
-    awaitable<void> serve(const caller_request& request, caller_reply& reply,
-                          exchange_ptr course);
+    awaitable<void> serve(const caller_request& request, response_writer& reply,
+                          request_cancellation_ptr course);
 
 private:
     friend class request_run;
 
     node_tables& tables_;
-    token_desk& desk_;
+    token_allocator& desk_;
     target_prober prober_;
 };
 
--- a/include/fennelladder/edge/simple_server.hpp
+++ b/include/fennelladder/edge/simple_server.hpp
@@ -1,7 +1,7 @@
 // Serves short questions over HTTP: readiness, entry, metrics.
 //
 //     simple_server server(io, address, [](const simple_request& asked) {
-//         return simple_answer{200, "text/plain", "fine\n"};
+//         return simple_response{200, "text/plain", "fine\n"};
 //     });
 //     if (auto ok = server.start(); !ok) ...
 //
@@ -26,7 +26,7 @@
     std::string query; ///< Without the question mark.
 };
 
-struct simple_answer
+struct simple_response
 {
     unsigned status = 200;
     std::string content_type = "application/json";
@@ -36,7 +36,7 @@
 class simple_server
 {
 public:
-    using handler = std::function<simple_answer(const simple_request&)>;
+    using handler = std::function<simple_response(const simple_request&)>;
 
     simple_server(asio::io_context& io, std::string address, handler answer);
 
--- a/include/fennelladder/edge/socket_deadline.hpp
+++ b/include/fennelladder/edge/socket_deadline.hpp
@@ -9,8 +9,8 @@
 //     limit.clear();                     // nothing is waited for
 //
 // A loop that stood still for longer than the limit closes no connection on
-// which bytes came meanwhile: see second_look.hpp. A silent connection is
-// closed `last_look` late.
+// which bytes came meanwhile: see expiry_check.hpp. A silent connection is
+// closed `expiry_grace` late.
 //
 // Cost: one timer. Moving the deadline to a later time sets no timer anew.
 // Not thread safe.
@@ -18,8 +18,8 @@
 #ifndef FENNELLADDER_EDGE_SOCKET_DEADLINE_HPP
 #define FENNELLADDER_EDGE_SOCKET_DEADLINE_HPP
 
+#include "fennelladder/edge/expiry_check.hpp"
 #include "fennelladder/edge/io.hpp"
-#include "fennelladder/edge/second_look.hpp"
 
 #include <memory>
 
--- a/include/fennelladder/edge/stock_keeper.hpp
+++ b/include/fennelladder/edge/stock_refiller.hpp
@@ -1,12 +1,12 @@
 // Keeps the fleet's stock of prepaid tokens filled up from the platform's
 // record of allotments.
 //
-//     stock_keeper keeper(tables, client, peers, hooks);
+//     stock_refiller keeper(tables, client, peers, hooks);
 //     keeper.start();
-//     if (const auto* writer = keeper.writer_elsewhere())
+//     if (const auto* writer = keeper.remote_writer())
 //         ... ask it, as any peer ...
 //     else
-//         keeper.want(team, missing, urgency);
+//         keeper.request_tokens(team, missing, urgency);
 //
 // One node of the fleet writes the record: the first by rank among those that
 // reach the platform. It takes out what the stockists of each team ask it for,
@@ -20,8 +20,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_EDGE_STOCK_KEEPER_HPP
-#define FENNELLADDER_EDGE_STOCK_KEEPER_HPP
+#ifndef FENNELLADDER_EDGE_STOCK_REFILLER_HPP
+#define FENNELLADDER_EDGE_STOCK_REFILLER_HPP
 
 #include "fennelladder/edge/allotment_writer.hpp"
 #include "fennelladder/edge/node_tables.hpp"
@@ -35,7 +35,7 @@
 
 namespace fennelladder::edge {
 
-class stock_keeper
+class stock_refiller
 {
 public:
     /// What the keeper has its owner do.
@@ -52,36 +52,37 @@
             ask;
     };
 
-    stock_keeper(node_tables& tables, platform_client& client,
-                 const mesh::stock_book& peers, hooks hooks);
+    stock_refiller(node_tables& tables, platform_client& client,
+                   const mesh::stock_book& peers, hooks hooks);
 
     /// Begins to look after the stock.
     void start();
 
     /// The node that takes tokens out for this one; nullptr if this one does
     /// it itself.
-    const mesh::node_row* writer_elsewhere() const;
+    const mesh::node_row* remote_writer() const;
 
     /// Asks for `missing` tokens out of the record. Unless `patient`, a request
     /// waits for them. The number of the round that takes them out.
     /// Precondition: this node writes.
-    std::uint64_t want(const team_id& team, tokens missing, bool patient);
+    std::uint64_t request_tokens(const team_id& team, tokens missing,
+                                 bool patient);
 
     /// Whether that round is over, or this node doesn't write any more.
-    bool is_over(std::uint64_t round) const;
+    bool is_round_done(std::uint64_t round) const;
 
     /// Whether a write by this node could bring tokens of the team.
-    bool may_take_out(const team_id& team) const;
+    bool can_withdraw(const team_id& team) const;
 
     /// The writer doesn't answer: for a while this node writes for itself, if
     /// it is a stockist at all.
-    void writer_is_silent();
+    void on_writer_timeout();
 
     /// What the record has handed out of the team, as far as it is known.
     std::optional<tokens> allotted_of(const team_id& team) const;
 
     /// The same, learned from another node. It only grows.
-    void learn_allotted(const team_id& team, tokens allotted);
+    void raise_allotted(const team_id& team, tokens allotted);
 
     /// What the record has left of the team, as far as it is known.
     tokens left_of(const team_id& team) const;
@@ -98,7 +99,7 @@
     }
 
     /// The team's stockists, the first by rank first.
-    std::vector<host_id> stockists(const team_id& team) const;
+    std::vector<host_id> stock_holders(const team_id& team) const;
 
 private:
     struct wanted_tokens
@@ -121,7 +122,7 @@
     prepaid::stock_state state_of(const team_id& team, tokens total,
                                   const std::vector<host_id>& holders) const;
     std::vector<host_id> holders() const;
-    bool is_stockist() const;
+    bool is_stock_holder() const;
     bool has_urgent() const;
     void note_reach();
 
--- a/include/fennelladder/edge/target_connection.hpp
+++ b/include/fennelladder/edge/target_connection.hpp
@@ -6,7 +6,7 @@
 //         const status made = co_await pool.open(held, limit);
 //     }
 //     ... one request ...
-//     pool.give_back(std::move(held), keep_alive, now);
+//     pool.release(std::move(held), keep_alive, now);
 //
 // A target serves one request at a time on a connection. A kept connection
 // may have ended unseen: before reuse it is asked without waiting whether the
@@ -49,29 +49,29 @@
 
     target_endpoint to;
     tcp::socket socket;
-    beast::flat_buffer buf;  ///< Read from the target, not yet parsed.
-    bool used = false;       ///< Carried a request before.
-    bool unanswered = false; ///< A request is out, and nothing came yet.
+    beast::flat_buffer buf;         ///< Read from the target, not yet parsed.
+    bool used = false;              ///< Carried a request before.
+    bool awaiting_response = false; ///< A request is out, and nothing came yet.
     instant idle_since;
-    duration idle_limit{0};
+    duration idle_timeout{0};
 };
 
 using connection_ptr = std::shared_ptr<target_connection>;
 
-struct target_pool_options
+struct connection_pool_options
 {
-    duration silence_limit = seconds(3); ///< See guard_silence().
+    duration keepalive_timeout = seconds(3); ///< See enable_keepalive().
     /// Idle time granted to a connection whose target states none; targets
     /// that state theirs are given up a fifth earlier.
-    duration idle_limit = seconds(4);
-    std::size_t most_idle = 24; ///< Kept for one target.
+    duration idle_timeout = seconds(4);
+    std::size_t max_idle_per_target = 24; ///< Kept for one target.
 };
 
 /// Not thread safe.
-class target_pool
+class connection_pool
 {
 public:
-    target_pool(asio::io_context& io, target_pool_options options);
+    connection_pool(asio::io_context& io, connection_pool_options options);
 
     /// An idle connection that rested for at most `longest`, the one used
     /// last; null if there is none.
@@ -86,27 +86,27 @@
 
     /// Keeps the connection for a later request. Precondition: its answer was
     /// complete, and nothing was read beyond it.
-    void give_back(connection_ptr used, std::optional<duration> keep_alive,
-                   instant now);
+    void release(connection_ptr used, std::optional<duration> keep_alive,
+                 instant now);
 
     /// Closes all idle connections there.
-    void drop_idle(const target_endpoint& to);
+    void close_idle(const target_endpoint& to);
 
     /// Closes what rested too long. For a timer.
-    void drop_old(instant now);
+    void close_expired(instant now);
 
     std::uint64_t opened() const { return opened_; }
 
 private:
     asio::io_context& io_;
-    const target_pool_options options_;
+    const connection_pool_options options_;
     // Of an endpoint, the one used last is the last.
     std::map<target_endpoint, std::vector<connection_ptr>> idle_;
     std::uint64_t opened_ = 0;
 };
 
 /// Whether an idle connection has ended or holds stray bytes.
-bool is_spent(tcp::socket& socket);
+bool is_stale(tcp::socket& socket);
 
 } // namespace fennelladder::edge
 
--- a/include/fennelladder/edge/token_desk.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -1,14 +1,14 @@
 // Gets a node the prepaid tokens that its requests need: from its purse, from
 // other nodes, and from the platform's record.
 //
-//     if (!co_await desk.obtain(team, worst, urgency, until))
+//     if (!co_await desk.acquire(team, worst, urgency, until))
 //         ... refuse: not run, come back ...
 //     desk.settle(team, worst, used);
 //
 // The purse is tried first, without a message. Then the node with the largest
 // stock that is known is asked, and the next, and at last the one that writes
-// the record (edge/stock_keeper.hpp), which answers when it has taken out what
-// is missing.
+// the record (edge/stock_refiller.hpp), which answers when it has taken out
+// what is missing.
 //
 // What is credited was deducted elsewhere before: by a conditional write that
 // is proved to have taken effect, or by a peer that answers each number once.
@@ -16,11 +16,11 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_EDGE_TOKEN_DESK_HPP
-#define FENNELLADDER_EDGE_TOKEN_DESK_HPP
+#ifndef FENNELLADDER_EDGE_TOKEN_ALLOCATOR_HPP
+#define FENNELLADDER_EDGE_TOKEN_ALLOCATOR_HPP
 
 #include "fennelladder/edge/node_tables.hpp"
-#include "fennelladder/edge/stock_keeper.hpp"
+#include "fennelladder/edge/stock_refiller.hpp"
 #include "fennelladder/mesh/stock_book.hpp"
 #include "fennelladder/prepaid/ration.hpp"
 
@@ -38,21 +38,21 @@
 {
     none,
     /// The team's whole prepaid amount doesn't cover the request.
-    never_covered,
+    exceeds_prepaid,
     /// Not here, but the record has some and the platform answers: soon.
-    short_for_a_moment,
+    temporary,
     /// Not here, and nobody knows when.
-    short_for_long
+    indefinite
 };
 
-class token_desk
+class token_allocator
 {
 public:
     /// Sends a datagram to the peer at an address.
     using sender =
         std::function<void(const std::string& address, const mesh::datagram&)>;
 
-    token_desk(node_tables& tables, platform_client& client, sender send);
+    token_allocator(node_tables& tables, platform_client& client, sender send);
 
     /// Starts taking tokens out of the record as needed.
     void start();
@@ -60,30 +60,30 @@
     /// Sets aside the most a request can cost, waiting until `until` at most.
     /// `urgency`: 0 is the most urgent; while no tokens come, those that more
     /// urgent requests will want are kept back.
-    awaitable<shortage> obtain(const team_id& team, tokens amount, int urgency,
-                               instant until);
+    awaitable<shortage> acquire(const team_id& team, tokens amount, int urgency,
+                                instant until);
 
     /// The request is over and cost `used`.
     void settle(const team_id& team, tokens reserved, tokens used);
 
     /// Messages of other nodes.
-    void on_ask(const mesh::token_ask& ask, const std::string& from);
-    void on_give(const mesh::token_give& give);
-    void on_gift(const mesh::token_gift& gift, const std::string& from);
-    void on_gift_taken(const mesh::token_gift_taken& taken);
+    void on_token_request(const mesh::token_ask& ask, const std::string& from);
+    void on_token_grant(const mesh::token_give& give);
+    void on_token_push(const mesh::token_gift& gift, const std::string& from);
+    void on_push_acknowledged(const mesh::token_gift_taken& taken);
 
     /// What another node says it holds.
-    void on_stock(const mesh::beacon& from);
+    void on_heartbeat(const mesh::beacon& from);
 
     /// The host's process ended without handing its tokens on.
-    void on_death(const host_id& host);
+    void on_node_death(const host_id& host);
 
     /// What to say of this node's stock.
-    std::vector<mesh::token_stock> own_stock() const;
+    std::vector<mesh::token_stock> local_stock() const;
 
     /// Hands all free tokens to other nodes; done when confirmed, or after
     /// `limit`.
-    awaitable<void> hand_over(duration limit);
+    awaitable<void> push_all(duration limit);
 
 private:
     struct asked
@@ -143,7 +143,7 @@
     sender send_;
     mesh::stock_book peers_;
     prepaid::ration shares_;
-    stock_keeper keeper_;
+    stock_refiller keeper_;
     std::vector<std::weak_ptr<asio::steady_timer>> waiting_;
     /// Shared with the requests that wait, which may outlive the desk.
     std::shared_ptr<waiting_counts> waiting_by_team_ =
--- a/include/fennelladder/prepaid/stock_plan.hpp
+++ b/include/fennelladder/prepaid/stock_plan.hpp
@@ -9,7 +9,7 @@
 // others ask them (or whoever has some) when a request comes. All stockists are
 // among a handful of nodes, so the tokens that lie about don't grow with the
 // fleet, and the death of one node costs a part of some teams' stock. Which
-// node writes the record for them is for edge/stock_keeper.hpp to say.
+// node writes the record for them is for edge/stock_refiller.hpp to say.
 //
 // Stock is what callers are served from while the platform is out of reach,
 // and what is lost when nodes die. Hence the stock of the whole fleet is sized
--- a/libs/edge/allotment_writer.cpp
+++ b/libs/edge/allotment_writer.cpp
@@ -186,7 +186,7 @@
     co_return !doubt_;
 }
 
-awaitable<bool> allotment_writer::take_out(const prepaid::token_amounts& wishes)
+awaitable<bool> allotment_writer::withdraw(const prepaid::token_amounts& wishes)
 {
     constexpr int most_conflicts = 5;
     // Without a revision the write would have no condition.
@@ -223,7 +223,7 @@
                       from_seconds(to_seconds(most) * tables_.random.unit()));
 }
 
-awaitable<bool> allotment_writer::renew(duration most_age)
+awaitable<bool> allotment_writer::refresh(duration most_age)
 {
     bool fine = true;
     if (doubt_)
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -69,7 +69,7 @@
     awaitable<void> pass_large(answer_parser& parser, std::string begun);
     awaitable<void> hold_failure(answer_parser& parser);
     awaitable<bool> pass_events(const answer_parser& parser);
-    answer_head head_of(const answer_parser& parser) const;
+    response_head head_of(const answer_parser& parser) const;
     void end(attempt_end how, target_evidence evidence, std::string detail);
     void end_by_error(const char* where);
     void moved_on(std::optional<duration> limit);
@@ -99,24 +99,25 @@
 /// The connection failed, or was closed from outside.
 void attempt::end_by_error(const char* where)
 {
-    switch (in_.course.stopped()) {
+    switch (in_.cancellation.stopped()) {
     case stop_reason::caller_left:
         return end(attempt_end::caller_left, target_evidence::nothing, where);
-    case stop_reason::out_of_time:
+    case stop_reason::deadline_exceeded:
         return end(attempt_end::out_of_time,
                    out_.first_byte ? target_evidence::nothing
                                    : target_evidence::silent,
                    where);
-    case stop_reason::silent:
+    case stop_reason::idle_timeout:
         return end(attempt_end::silent, target_evidence::silent, where);
     case stop_reason::none:
         break;
     }
     // A kept connection that ended before any answer most likely ended before
     // the request came: that says nothing of the target.
-    out_.idle_race = out_.kept_connection && !out_.first_byte;
+    out_.stale_connection = out_.reused_connection && !out_.first_byte;
     end(attempt_end::broken,
-        out_.idle_race ? target_evidence::nothing : target_evidence::broke,
+        out_.stale_connection ? target_evidence::nothing
+                              : target_evidence::broke,
         std::string(where) + ": " + ec_.message());
 }
 
@@ -127,13 +128,14 @@
 /// caller that left doesn't take it.
 bool attempt::caller_has_ended() const
 {
-    return in_.course.stopped() == stop_reason::caller_left;
+    return in_.cancellation.stopped() == stop_reason::caller_left;
 }
 
 /// Whether what was read counts.
 bool attempt::answer_counts() const
 {
-    return in_.course.stopped() == stop_reason::none || caller_has_ended();
+    return in_.cancellation.stopped() == stop_reason::none ||
+           caller_has_ended();
 }
 
 bool attempt::is_head_request() const
@@ -144,33 +146,33 @@
 void attempt::moved_on(std::optional<duration> limit)
 {
     if (limit)
-        in_.course.set_silence_limit(in_.tables.now() + *limit);
+        in_.cancellation.set_idle_deadline(in_.tables.now() + *limit);
     else
-        in_.course.set_silence_limit(std::nullopt);
+        in_.cancellation.set_idle_deadline(std::nullopt);
 }
 
 awaitable<bool> attempt::connect()
 {
-    if (in_.course.stopped() != stop_reason::none) {
+    if (in_.cancellation.stopped() != stop_reason::none) {
         end_by_error("before connecting");
         co_return false;
     }
     const target_endpoint to{in_.target.process(), in_.target.address};
     connection_ =
-        in_.tables.pool.take_idle(to, in_.longest_rest, in_.tables.now());
+        in_.tables.pool.take_idle(to, in_.max_idle_time, in_.tables.now());
     if (connection_) {
-        out_.kept_connection = true;
-        in_.course.hold(connection_);
+        out_.reused_connection = true;
+        in_.cancellation.attach(connection_);
         co_return true;
     }
     connection_ = in_.tables.pool.make(to);
-    in_.course.hold(connection_);
+    in_.cancellation.attach(connection_);
     // What the target answers waits like everything else on a full link.
     const duration limit = connect_limit + 2 * in_.tables.queueing();
     const status made = co_await in_.tables.pool.open(connection_, limit);
-    if (made && in_.course.stopped() == stop_reason::none)
+    if (made && in_.cancellation.stopped() == stop_reason::none)
         co_return true;
-    if (in_.course.stopped() == stop_reason::none)
+    if (in_.cancellation.stopped() == stop_reason::none)
         end(attempt_end::not_connected, target_evidence::unreachable,
             made.error().message);
     else
@@ -184,8 +186,8 @@
 /// news may have become too old to know.
 bool attempt::is_wanted()
 {
-    in_.course.look_for_caller();
-    if (in_.course.stopped() != stop_reason::none) {
+    in_.cancellation.check_caller();
+    if (in_.cancellation.stopped() != stop_reason::none) {
         end_by_error("before sending");
         return false;
     }
@@ -206,11 +208,12 @@
     std::optional<std::size_t> body_size;
     if (request.has_body)
         body_size = request.body.size();
-    outgoing_->head = adapter::encode_request(
-        request.method, request.path, request.fields, in_.order, body_size);
+    outgoing_->head =
+        adapter::encode_request(request.method, request.path, request.fields,
+                                in_.forwarding, body_size);
     outgoing_->body = request.body;
     outgoing_->connection = connection_;
-    connection_->unanswered = true;
+    connection_->awaiting_response = true;
     out_.sent_at = in_.tables.now();
     const std::array<asio::const_buffer, 2> bytes{
         asio::buffer(outgoing_->head), asio::buffer(outgoing_->body)};
@@ -231,11 +234,11 @@
         parser->skip(is_head_request());
         co_await http::async_read_header(connection_->socket, connection_->buf,
                                          *parser, into(ec_));
-        connection_->unanswered = false;
+        connection_->awaiting_response = false;
         if (ec_ || !answer_counts()) {
-            out_.nothing_made =
+            out_.produced_nothing =
                 ec_ == http::error::end_of_stream && outgoing_->done &&
-                in_.course.stopped() == stop_reason::caller_left;
+                in_.cancellation.stopped() == stop_reason::caller_left;
             end_by_error("answer's head");
             co_return false;
         }
@@ -280,15 +283,15 @@
     co_return true;
 }
 
-answer_head attempt::head_of(const answer_parser& parser) const
+response_head attempt::head_of(const answer_parser& parser) const
 {
-    answer_head out;
+    response_head out;
     out.status = parser.get().result_int();
     const auto reason = parser.get().reason();
     out.reason = std::string(reason.data(), reason.size());
     out.headers = adapter::encode_answer_headers(parser.get().base());
     const auto length = parser.get()[http::field::content_length];
-    out.stated_length = std::string(length.data(), length.size());
+    out.content_length = std::string(length.data(), length.size());
     return out;
 }
 
@@ -304,10 +307,10 @@
                        !parser.need_eof() && parser.keep_alive() &&
                        !facts.closes && outgoing_->done &&
                        connection_->buf.size() == 0;
-    in_.course.release();
+    in_.cancellation.detach();
     if (!clean)
         return;
-    in_.tables.pool.give_back(connection_, facts.keep_alive, in_.tables.now());
+    in_.tables.pool.release(connection_, facts.keep_alive, in_.tables.now());
     connection_.reset();
 }
 
@@ -328,12 +331,12 @@
     moved_on(std::nullopt);
     bool sent = true;
     if (!in_.reply.begun()) {
-        const answer_head head = head_of(parser);
+        const response_head head = head_of(parser);
         sent = co_await in_.reply.begin(head);
     }
     const std::string whole = in_.events.take();
     if (sent)
-        sent = co_await in_.reply.send_piece(whole);
+        sent = co_await in_.reply.send_chunk(whole);
     if (!sent)
         end(attempt_end::caller_left, target_evidence::nothing, "caller");
     co_return sent;
@@ -341,7 +344,7 @@
 
 awaitable<void> attempt::pass_stream(answer_parser& parser)
 {
-    in_.events.restart();
+    in_.events.discard_incomplete();
     std::string piece;
     std::uint64_t passed = in_.events.events();
     while (!parser.is_done()) {
@@ -358,22 +361,22 @@
             continue;
         passed = in_.events.events();
         note_first_byte();
-        moved_on(in_.gap_limit);
+        moved_on(in_.progress_timeout);
         // The target is about to be cut off: a part would be of no use.
         if (caller_has_ended())
             continue;
         const bool passed_on = co_await pass_events(parser);
         if (!passed_on)
             co_return;
-        moved_on(in_.gap_limit);
+        moved_on(in_.progress_timeout);
     }
     give_back(parser);
     const bool passed_on = co_await pass_events(parser);
     if (!passed_on)
         co_return;
     // Bytes behind the last event belong to the target's whole answer.
-    const std::string rest = in_.events.rest();
-    (void)co_await in_.reply.send_piece(rest);
+    const std::string rest = in_.events.incomplete();
+    (void)co_await in_.reply.send_chunk(rest);
     const bool finished = co_await in_.reply.finish();
     if (finished)
         end(attempt_end::answered, target_evidence::answered, "");
@@ -386,11 +389,11 @@
 awaitable<void> attempt::pass_large(answer_parser& parser, std::string piece)
 {
     moved_on(std::nullopt);
-    out_.part_stands_alone = true;
-    const answer_head head = head_of(parser);
+    out_.partial_body_sent = true;
+    const response_head head = head_of(parser);
     bool taken = co_await in_.reply.begin(head);
     while (taken) {
-        taken = co_await in_.reply.send_piece(piece);
+        taken = co_await in_.reply.send_chunk(piece);
         if (!taken || parser.is_done())
             break;
         piece.clear();
@@ -415,7 +418,7 @@
         const bool more = co_await read_piece(parser, body);
         if (!more)
             co_return;
-        moved_on(in_.gap_limit);
+        moved_on(in_.progress_timeout);
         if (body.size() > most_held) {
             co_await pass_large(parser, std::move(body));
             co_return;
@@ -423,8 +426,8 @@
     }
     moved_on(std::nullopt);
     give_back(parser);
-    const answer_head head = head_of(parser);
-    const bool sent = co_await in_.reply.send_whole(head, body);
+    const response_head head = head_of(parser);
+    const bool sent = co_await in_.reply.send_complete(head, body);
     if (sent)
         end(attempt_end::answered, target_evidence::answered, "");
     else
@@ -484,7 +487,7 @@
         co_return;
     }
     const auto type = parser.get()[http::field::content_type];
-    if (in_.way.streams && !is_head_request() &&
+    if (in_.route.streams && !is_head_request() &&
         type.starts_with("text/event-stream")) {
         co_await pass_stream(parser);
         co_return;
@@ -523,12 +526,12 @@
 {
     const bool connected = co_await connect();
     if (connected && is_wanted()) {
-        moved_on(in_.first_byte_limit);
+        moved_on(in_.first_byte_timeout);
         send();
         co_await read_answers();
     }
-    in_.course.clear_silence();
-    in_.course.release();
+    in_.cancellation.clear_idle_timeout();
+    in_.cancellation.detach();
     // A connection that didn't go back to the pool ends here: its target has
     // to hear that nobody waits any more.
     if (connection_) {
--- a/libs/edge/caller_server.cpp
+++ b/libs/edge/caller_server.cpp
@@ -95,10 +95,11 @@
     awaitable<bool> reject(unsigned status, const char* reason);
     void note_unread(const char* part, const net_error& ec) const;
     awaitable<void> serve(caller_request request);
-    void watch_caller(const exchange_ptr& course);
+    void watch_caller(const request_cancellation_ptr& course);
     net_error look_at_caller();
-    void on_readable(const exchange_ptr& course);
-    void note_end(const caller_request& request, const exchange& course) const;
+    void on_readable(const request_cancellation_ptr& course);
+    void note_end(const caller_request& request,
+                  const request_cancellation& course) const;
     void close();
 
     caller_server& server_;
@@ -106,7 +107,7 @@
     node_tables& tables_;
     tcp::socket socket_;
     std::optional<socket_deadline> limit_; ///< Of what is waited for.
-    caller_reply reply_;
+    response_writer reply_;
     beast::flat_buffer buf_;
     bool waiting_ = false; ///< For the first byte of a request.
     bool serving_ = false;
@@ -162,9 +163,9 @@
     telemetry::log_event(
         telemetry::event::call_rejected,
         {{"outcome", std::to_string(status)}, {"reason", reason}});
-    reply_.close_after();
-    own_answer answer{status, "", std::nullopt, reason};
-    (void)co_await reply_.send_own(answer);
+    reply_.close_when_done();
+    local_response answer{status, "", std::nullopt, reason};
+    (void)co_await reply_.send_local(answer);
     co_return false;
 }
 
@@ -173,7 +174,7 @@
     telemetry::log_event(
         telemetry::event::request_unread,
         {{"part", part},
-         {"error", end_text(ec)},
+         {"error", disconnect_reason(ec)},
          {"closed_here", socket_.is_open() ? "no" : "yes"},
          {"lag_ms", milliseconds_text(tables_.lag.at(tables_.now()))}});
 }
@@ -233,12 +234,12 @@
         co_return false;
     }
     if (!parser.keep_alive())
-        reply_.close_after();
+        reply_.close_when_done();
     out.has_body = parser.get().has_content_length() || parser.chunked();
     auto& message = parser.get();
     out.method = std::string(message.method_string());
     if (message.method() == http::verb::head)
-        reply_.send_no_body();
+        reply_.omit_body();
     out.path = std::string(message.target());
     out.body = std::move(message.body());
     out.fields = std::move(message.base());
@@ -257,35 +258,36 @@
         socket_.read_some(buf_.prepare(most_ahead - buf_.size()), ec);
     if (!ec)
         buf_.commit(n);
-    return is_nothing_yet(ec) ? net_error() : ec;
+    return is_transient(ec) ? net_error() : ec;
 }
 
-void caller_session::on_readable(const exchange_ptr& course)
+void caller_session::on_readable(const request_cancellation_ptr& course)
 {
     if (const net_error ended = look_at_caller())
-        course->stop_without_caller(ended);
+        course->stop_caller_left(ended);
     else if (buf_.size() < most_ahead)
         watch_caller(course);
 }
 
-void caller_session::watch_caller(const exchange_ptr& course)
+void caller_session::watch_caller(const request_cancellation_ptr& course)
 {
-    socket_.async_wait(tcp::socket::wait_read,
-                       [weak = weak_from_this(),
-                        of = std::weak_ptr<exchange>(course)](net_error ec) {
-                           const auto self = weak.lock();
-                           const auto running = of.lock();
-                           if (!ec && self && running && self->serving_)
-                               self->on_readable(running);
-                       });
+    socket_.async_wait(
+        tcp::socket::wait_read,
+        [weak = weak_from_this(),
+         of = std::weak_ptr<request_cancellation>(course)](net_error ec) {
+            const auto self = weak.lock();
+            const auto running = of.lock();
+            if (!ec && self && running && self->serving_)
+                self->on_readable(running);
+        });
 }
 
 /// An answer that wasn't delivered though the caller wasn't seen to leave is
 /// a failure of this node or of the way to the caller.
 void caller_session::note_end(const caller_request& request,
-                              const exchange& course) const
+                              const request_cancellation& course) const
 {
-    if (reply_.finished() || course.caller_end())
+    if (reply_.finished() || course.caller_disconnect())
         return;
     const duration took = tables_.now() - request.arrived;
     telemetry::log_event(
@@ -293,14 +295,15 @@
         {{"id", request.facts.id},
          {"answer", reply_.begun() ? "begun" : "none"},
          {"open", socket_.is_open() ? "yes" : "no"},
-         {"error", end_text(reply_.failure())},
+         {"error", disconnect_reason(reply_.write_error())},
          {"lag_ms", milliseconds_text(tables_.lag.at(tables_.now()))},
          {"ms", milliseconds_text(took)}});
 }
 
 awaitable<void> caller_session::serve(caller_request request)
 {
-    const auto course = std::make_shared<exchange>(tables_.io, tables_.time);
+    const auto course =
+        std::make_shared<request_cancellation>(tables_.io, tables_.time);
     serving_ = true;
     ++server_.served_now_;
     server_.body_bytes_ += request.body.size();
@@ -308,19 +311,20 @@
     // request up ends that too.
     course->on_stop([weak = weak_from_this()](stop_reason why) {
         const auto self = weak.lock();
-        if (!self || why == stop_reason::silent)
+        if (!self || why == stop_reason::idle_timeout)
             return;
         if (self->reply_.is_writing())
             self->close();
         else if (why == stop_reason::caller_left)
             self->limit_->close_after(last_delivery);
     });
-    course->on_look([this, weak = std::weak_ptr<exchange>(course)] {
-        const auto running = weak.lock();
-        const net_error ended = running ? look_at_caller() : net_error();
-        if (ended)
-            running->stop_without_caller(ended);
-    });
+    course->on_caller_check(
+        [this, weak = std::weak_ptr<request_cancellation>(course)] {
+            const auto running = weak.lock();
+            const net_error ended = running ? look_at_caller() : net_error();
+            if (ended)
+                running->stop_caller_left(ended);
+        });
     watch_caller(course);
     tables_.requests_taken.add(1, tables_.now());
     co_await server_.driver_.serve(request, reply_, course);
@@ -340,7 +344,7 @@
 
 awaitable<void> caller_session::serve_requests()
 {
-    guard_silence(socket_, silence_limit);
+    enable_keepalive(socket_, silence_limit);
     limit_.emplace(std::shared_ptr<tcp::socket>(shared_from_this(), &socket_));
     net_error ec;
     socket_.non_blocking(true, ec);
@@ -353,27 +357,28 @@
         const bool read = co_await read_request(request);
         if (!read)
             break;
-        request.dialed = std::exchange(first_, false);
+        request.first_on_connection = std::exchange(first_, false);
         if (server_.leaving_)
-            reply_.close_after();
+            reply_.close_when_done();
         if (const char* reason = server_.reason_to_refuse(request)) {
             telemetry::log_event(telemetry::event::request_refused,
                                  {{"id", request.facts.id},
                                   {"outcome", "503"},
                                   {"reason", reason}});
-            own_answer answer{503, request.facts.id, come_back, reason};
-            (void)co_await reply_.send_own(answer);
+            local_response answer{503, request.facts.id, default_retry_after,
+                                  reason};
+            (void)co_await reply_.send_local(answer);
         } else {
             co_await serve(std::move(request));
         }
-        if (!reply_.finished() || reply_.closes())
+        if (!reply_.finished() || reply_.closes_connection())
             break;
     }
     limit_->clear();
     // Unread bytes would turn the end into a reset, which may take the last
     // answer with it.
     socket_.shutdown(tcp::socket::shutdown_send, ec);
-    if (reply_.closes() && reply_.finished()) {
+    if (reply_.closes_connection() && reply_.finished()) {
         char rest[1024];
         while (socket_.read_some(asio::buffer(rest), ec) > 0 && !ec) {
         }
@@ -408,7 +413,7 @@
     return full ? "too much at once" : nullptr;
 }
 
-std::size_t caller_server::under_way() const
+std::size_t caller_server::requests_in_flight() const
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         *sessions_, [](const caller_session* it) { return !it->is_idle(); }));
@@ -420,12 +425,12 @@
     acceptor_.close(ec);
 }
 
-void caller_server::announce_leaving()
+void caller_server::start_draining()
 {
     leaving_ = true;
 }
 
-void caller_server::refuse_new()
+void caller_server::reject_new_requests()
 {
     refusing_ = true;
     const auto all = *sessions_;
@@ -450,7 +455,7 @@
         net_error ec;
         co_await acceptor_.async_accept(socket, into(ec));
         if (ec) {
-            note_not_taken(end_text(ec));
+            note_not_taken(disconnect_reason(ec));
             co_await sleep_on(timer, accept_pause);
             continue;
         }
--- a/libs/edge/decision_options.cpp
+++ b/libs/edge/decision_options.cpp
@@ -113,7 +113,7 @@
         of("entry.headroom", &options::entry, &entry_options::headroom),
         of("entry.enough-near", &options::entry, &entry_options::enough_near),
         of("connections.most-idle", &options::pool,
-           &target_pool_options::most_idle),
+           &connection_pool_options::max_idle_per_target),
         of("news.mind-lateness", &options::minds_lateness),
     };
     return all;
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -145,18 +145,18 @@
     const instant begun = tables_.now();
     const instant end = begun + tables_.settings.stop_grace - reserve_at_end;
     log_event(event::node_stopping,
-              {{"under_way", std::to_string(callers_.under_way())}});
+              {{"under_way", std::to_string(callers_.requests_in_flight())}});
     tables_.leaving = true;
-    callers_.announce_leaving();
+    callers_.start_draining();
     tables_.spread_news();
     asio::steady_timer timer(io_);
     co_await sleep_on(timer, options_.serve_on);
     callers_.stop_accepting();
-    callers_.refuse_new();
-    while (callers_.under_way() > 0 && tables_.now() < end)
+    callers_.reject_new_requests();
+    while (callers_.requests_in_flight() > 0 && tables_.now() < end)
         co_await sleep_on(timer, drain_check);
-    const std::size_t left = callers_.under_way();
-    co_await desk_.hand_over(hand_over_limit);
+    const std::size_t left = callers_.requests_in_flight();
+    co_await desk_.push_all(hand_over_limit);
     log_event(left == 0 ? event::node_stopped : event::node_left_unclean,
               {{"under_way", std::to_string(left)}});
     log_.flush(tables_.now());
@@ -194,7 +194,7 @@
         log_.flush(now);
         if (now >= next_upkeep) {
             next_upkeep = now + upkeep_period;
-            tables_.pool.drop_old(now);
+            tables_.pool.close_expired(now);
             tables_.update_sharing_hosts();
             reload_settings();
         }
@@ -208,7 +208,7 @@
     }
 }
 
-simple_answer edge_node::answer_readiness(const simple_request& asked)
+simple_response edge_node::answer_readiness(const simple_request& asked)
 {
     if (asked.path != adapter::readiness_path)
         return {404, "text/plain", "no such path\n"};
@@ -256,7 +256,7 @@
     return out;
 }
 
-simple_answer edge_node::answer_entry(const simple_request& asked)
+simple_response edge_node::answer_entry(const simple_request& asked)
 {
     if (asked.path != adapter::entry_path)
         return {404, "text/plain", "no such path\n"};
@@ -278,7 +278,7 @@
 {
     auto& metrics = tables_.metrics;
     metrics.gauge_of("fennelladder_requests_under_way")
-        .set(static_cast<std::int64_t>(callers_.under_way()));
+        .set(static_cast<std::int64_t>(callers_.requests_in_flight()));
     metrics.gauge_of("fennelladder_nodes_alive")
         .set(static_cast<std::int64_t>(
             tables_.nodes.alive(tables_.now()).size() + 1));
@@ -314,7 +314,7 @@
     }
 }
 
-simple_answer edge_node::answer_metrics(const simple_request& asked)
+simple_response edge_node::answer_metrics(const simple_request& asked)
 {
     if (asked.path != options_.metrics_path)
         return {404, "text/plain", "no such path\n"};
--- a/libs/edge/event_splitter.cpp
+++ b/libs/edge/event_splitter.cpp
@@ -76,7 +76,7 @@
         from = next;
     }
     pending_.erase(0, begin);
-    return pending_.size() <= longest_event;
+    return pending_.size() <= max_event_bytes;
 }
 
 std::string event_splitter::take()
--- a/libs/edge/event_splitter_test.cpp
+++ b/libs/edge/event_splitter_test.cpp
@@ -42,7 +42,7 @@
 {
     events.feed(event(1) + event(2) + "id: 3\nda");
     std::string out = events.take();
-    events.restart();
+    events.discard_incomplete();
     STRCMP_EQUAL("2", events.last_id().c_str());
     // It resumes one event too early.
     CHECK(events.feed(event(2) + event(3)));
--- a/libs/edge/io.cpp
+++ b/libs/edge/io.cpp
@@ -34,13 +34,13 @@
     return tcp::endpoint(ip, port);
 }
 
-bool is_nothing_yet(const net_error& ec)
+bool is_transient(const net_error& ec)
 {
     return ec == asio::error::would_block || ec == asio::error::try_again ||
            ec == asio::error::interrupted;
 }
 
-std::string end_text(const net_error& ec)
+std::string disconnect_reason(const net_error& ec)
 {
     if (!ec)
         return {};
@@ -56,7 +56,7 @@
     return address.substr(0, address.rfind(':')) + ":" + std::to_string(port);
 }
 
-void guard_silence(tcp::socket& socket, duration limit)
+void enable_keepalive(tcp::socket& socket, duration limit)
 {
     net_error ec;
     socket.set_option(tcp::no_delay(true), ec);
--- a/libs/edge/io_test.cpp
+++ b/libs/edge/io_test.cpp
@@ -11,19 +11,20 @@
 // stopped and its connection closed without an answer.
 TEST(io, only_what_tells_of_the_other_side_is_an_end)
 {
-    CHECK(is_nothing_yet(asio::error::would_block));
-    CHECK(is_nothing_yet(asio::error::try_again));
-    CHECK(is_nothing_yet(asio::error::interrupted));
-    CHECK(!is_nothing_yet(asio::error::eof));
-    CHECK(!is_nothing_yet(asio::error::connection_reset));
-    CHECK(!is_nothing_yet(asio::error::timed_out));
-    CHECK(!is_nothing_yet(net_error()));
+    CHECK(is_transient(asio::error::would_block));
+    CHECK(is_transient(asio::error::try_again));
+    CHECK(is_transient(asio::error::interrupted));
+    CHECK(!is_transient(asio::error::eof));
+    CHECK(!is_transient(asio::error::connection_reset));
+    CHECK(!is_transient(asio::error::timed_out));
+    CHECK(!is_transient(net_error()));
 }
 
 TEST(io, the_log_tells_how_a_connection_ended)
 {
-    STRCMP_EQUAL("", end_text(net_error()).c_str());
-    STRCMP_EQUAL("closed", end_text(asio::error::eof).c_str());
-    STRCMP_EQUAL("reset", end_text(asio::error::connection_reset).c_str());
-    CHECK(!end_text(asio::error::timed_out).empty());
+    STRCMP_EQUAL("", disconnect_reason(net_error()).c_str());
+    STRCMP_EQUAL("closed", disconnect_reason(asio::error::eof).c_str());
+    STRCMP_EQUAL("reset",
+                 disconnect_reason(asio::error::connection_reset).c_str());
+    CHECK(!disconnect_reason(asio::error::timed_out).empty());
 }
--- a/libs/edge/loop_lag_test.cpp
+++ b/libs/edge/loop_lag_test.cpp
@@ -31,9 +31,9 @@
     CHECK(lag.note_tick(late) == milliseconds(80));
     lag.note_tick(late + period);
     CHECK(lag.at(late + period) == milliseconds(80));
-    for (instant it = late; it <= late + loop_lag::memory; it += period)
+    for (instant it = late; it <= late + loop_lag::retention; it += period)
         lag.note_tick(it);
-    CHECK(lag.at(late + loop_lag::memory) < milliseconds(80));
+    CHECK(lag.at(late + loop_lag::retention) < milliseconds(80));
 }
 
 TEST(loop_lag, a_stall_that_lasts_counts)
--- a/libs/edge/mesh_node.cpp
+++ b/libs/edge/mesh_node.cpp
@@ -85,7 +85,7 @@
       lag_gauge_(tables.metrics.gauge_of(lag_metric))
 {}
 
-void mesh_node::connect_desk(token_desk& desk)
+void mesh_node::connect_desk(token_allocator& desk)
 {
     desk_ = &desk;
 }
@@ -174,7 +174,7 @@
     out.load = tables_.book.own_load();
     keep_largest(out.load, load_limit, &dispatch::target_load::running);
     if (desk_ != nullptr)
-        out.stock = desk_->own_stock();
+        out.stock = desk_->local_stock();
     keep_largest(out.stock, stock_limit, &mesh::token_stock::free);
     out.limits = newest_limits(tables_.book.own_limits(tables_.now()));
     out.leaving = tables_.book.told_leaving(leaving_limit, tables_.now());
@@ -347,13 +347,13 @@
     if (desk_ == nullptr)
         return;
     if (message.ask)
-        desk_->on_ask(*message.ask, from);
+        desk_->on_token_request(*message.ask, from);
     if (message.give)
-        desk_->on_give(*message.give);
+        desk_->on_token_grant(*message.give);
     if (message.gift)
-        desk_->on_gift(*message.gift, from);
+        desk_->on_token_push(*message.gift, from);
     if (message.gift_taken)
-        desk_->on_gift_taken(*message.gift_taken);
+        desk_->on_push_acknowledged(*message.gift_taken);
 }
 
 void mesh_node::take_beacon(const mesh::beacon& from)
@@ -391,7 +391,7 @@
 {
     tables_.losses.note_death(tables_.nodes.host_count(), now);
     if (desk_ != nullptr)
-        desk_->on_death(host);
+        desk_->on_node_death(host);
 }
 
 /// A younger node knows less than this one has seen.
@@ -408,7 +408,7 @@
 {
     tables_.book.peer_load(from.host, from.load);
     if (desk_ != nullptr)
-        desk_->on_stock(from);
+        desk_->on_heartbeat(from);
 }
 
 void mesh_node::take_signals(const mesh::beacon& from, instant sent)
--- a/libs/edge/news_exchange.cpp
+++ b/libs/edge/news_exchange.cpp
@@ -427,7 +427,7 @@
     if (!sent)
         co_return false;
     // What the system took may still wait before the link.
-    const bool arrived = co_await stream.closed_by_peer();
+    const bool arrived = co_await stream.wait_for_close();
     if (arrived && parse_endpoint(ask.peer_address))
         slots_.note_served(version, ask.peer_address);
     co_return arrived;
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -151,7 +151,7 @@
     targets_changed = now();
     const auto replaced = book.sync(targets.entries(), in_doubt, now());
     for (const catalog::target_entry& it : replaced)
-        pool.drop_idle({it.process(), it.address});
+        pool.close_idle({it.process(), it.address});
     log_event(event::targets_changed,
               {{"targets", std::to_string(targets.entries().size())},
                {"as_of", std::to_string(targets.as_of().value())},
--- a/libs/edge/peer_stream.cpp
+++ b/libs/edge/peer_stream.cpp
@@ -109,7 +109,7 @@
     co_return !ec;
 }
 
-awaitable<bool> peer_stream::closed_by_peer()
+awaitable<bool> peer_stream::wait_for_close()
 {
     char any = 0;
     net_error ec;
--- a/libs/edge/platform_client.cpp
+++ b/libs/edge/platform_client.cpp
@@ -94,7 +94,7 @@
     made->silent = limit.has_closed();
     if (ec || !made->socket.is_open())
         co_return false;
-    guard_silence(made->socket, silence_limit);
+    enable_keepalive(made->socket, silence_limit);
     co_return true;
 }
 
@@ -210,7 +210,7 @@
 {
     connection_ptr with;
     while (!with && !idle_.empty()) {
-        if (!is_spent(idle_.back()->socket))
+        if (!is_stale(idle_.back()->socket))
             with = idle_.back();
         idle_.pop_back();
     }
--- a/libs/edge/exchange.cpp
+++ b/libs/edge/request_cancellation.cpp
@@ -2,7 +2,7 @@
 // a stream does, costs nothing: the timer looks when it fires whether the
 // limit has moved, and waits for the rest.
 
-#include "fennelladder/edge/exchange.hpp"
+#include "fennelladder/edge/request_cancellation.hpp"
 
 #include <algorithm>
 
@@ -22,34 +22,35 @@
 
 } // namespace
 
-exchange::exchange(asio::io_context& io, const clock& time)
+request_cancellation::request_cancellation(asio::io_context& io,
+                                           const clock& time)
     : time_(time), timer_(io)
 {}
 
-void exchange::set_deadline(instant at)
+void request_cancellation::set_deadline(instant at)
 {
     deadline_ = at;
     arm();
 }
 
-void exchange::set_silence_limit(std::optional<instant> at)
+void request_cancellation::set_idle_deadline(std::optional<instant> at)
 {
     silence_limit_ = at;
     arm();
 }
 
-std::optional<instant> exchange::next_look() const
+std::optional<instant> request_cancellation::next_look() const
 {
     std::optional<instant> next;
     if (deadline_)
-        next = deadline_look_.due(*deadline_);
+        next = deadline_look_.next_check(*deadline_);
     if (!silence_limit_)
         return next;
-    const instant at = silence_look_.due(*silence_limit_);
+    const instant at = silence_look_.next_check(*silence_limit_);
     return next ? std::min(*next, at) : at;
 }
 
-void exchange::arm()
+void request_cancellation::arm()
 {
     const std::optional<instant> next = next_look();
     if (ended_ || !next || (armed_for_ && *armed_for_ <= *next))
@@ -63,7 +64,7 @@
     });
 }
 
-void exchange::on_timer()
+void request_cancellation::on_timer()
 {
     armed_for_.reset();
     if (ended_)
@@ -72,67 +73,67 @@
     // Each limit has its own second look: an answer's head and body are worked
     // off in handlers of their own, and after a stall this one may run between
     // them, with the body there and the answer as good as whole.
-    const bool late = deadline_ && deadline_look_.has_passed(*deadline_, now);
+    const bool late = deadline_ && deadline_look_.has_expired(*deadline_, now);
     const bool silent =
-        silence_limit_ && silence_look_.has_passed(*silence_limit_, now);
+        silence_limit_ && silence_look_.has_expired(*silence_limit_, now);
     if (late)
-        stop(stop_reason::out_of_time);
+        stop(stop_reason::deadline_exceeded);
     else if (!silent)
         arm();
     else if (!may_stop_silent_ || may_stop_silent_())
         stop_silent();
     else
-        set_silence_limit(now + silence_pause);
+        set_idle_deadline(now + silence_pause);
 }
 
-void exchange::hold(connection_ptr held)
+void request_cancellation::attach(connection_ptr held)
 {
     held_ = std::move(held);
 }
 
-void exchange::release()
+void request_cancellation::detach()
 {
     held_.reset();
 }
 
-void exchange::on_stop(std::function<void(stop_reason)> then)
+void request_cancellation::on_stop(std::function<void(stop_reason)> then)
 {
     then_ = std::move(then);
 }
 
-void exchange::on_silence(std::function<bool()> may_stop)
+void request_cancellation::on_idle_timeout(std::function<bool()> may_stop)
 {
     may_stop_silent_ = std::move(may_stop);
 }
 
-void exchange::on_look(std::function<void()> look)
+void request_cancellation::on_caller_check(std::function<void()> look)
 {
     look_ = std::move(look);
 }
 
-void exchange::look_for_caller()
+void request_cancellation::check_caller()
 {
     if (look_ && !ended_ && stopped_ == stop_reason::none)
         look_();
 }
 
 /// A silent attempt is over, its request isn't: the deadline holds on.
-void exchange::stop_silent()
+void request_cancellation::stop_silent()
 {
     silence_limit_.reset();
-    stop(stop_reason::silent);
+    stop(stop_reason::idle_timeout);
     arm();
 }
 
-void exchange::stop(stop_reason why)
+void request_cancellation::stop(stop_reason why)
 {
     const bool over = stopped_ == stop_reason::caller_left ||
-                      stopped_ == stop_reason::out_of_time;
+                      stopped_ == stop_reason::deadline_exceeded;
     if (ended_ || over || stopped_ == why)
         return;
     stopped_ = why;
     net_error ec;
-    if (held_ && held_->unanswered && why == stop_reason::caller_left)
+    if (held_ && held_->awaiting_response && why == stop_reason::caller_left)
         close_in_order();
     else if (held_)
         held_->socket.close(ec);
@@ -140,14 +141,14 @@
         then_(why);
 }
 
-void exchange::stop_without_caller(net_error how)
+void request_cancellation::stop_caller_left(net_error how)
 {
     if (!ended_ && !caller_end_)
         caller_end_ = how;
     stop(stop_reason::caller_left);
 }
 
-void exchange::close_in_order()
+void request_cancellation::close_in_order()
 {
     net_error ec;
     held_->socket.shutdown(tcp::socket::shutdown_send, ec);
@@ -158,15 +159,15 @@
     farewell_->close_after(farewell);
 }
 
-void exchange::clear_silence()
+void request_cancellation::clear_idle_timeout()
 {
-    if (stopped_ == stop_reason::silent)
+    if (stopped_ == stop_reason::idle_timeout)
         stopped_ = stop_reason::none;
     silence_limit_.reset();
     arm();
 }
 
-void exchange::end()
+void request_cancellation::end()
 {
     ended_ = true;
     then_ = nullptr;
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -20,7 +20,7 @@
 constexpr duration come_back_poison = seconds(5);
 
 /// Callers who are to come back at the end of a rest are spread over this part
-/// of what is left of it, at least over come_back.
+/// of what is left of it, at least over default_retry_after.
 constexpr double come_back_spread = 0.5;
 
 /// A request waits at least this long for tokens: two rounds among peers.
@@ -73,7 +73,7 @@
 {
 public:
     request_run(request_driver& driver, const caller_request& request,
-                caller_reply& reply, exchange_ptr course)
+                response_writer& reply, request_cancellation_ptr course)
         : driver_(driver), tables_(driver.tables_), request_(request),
           reply_(reply), course_(std::move(course)), config_(tables_.config),
           queued_(tables_.queueing())
@@ -111,8 +111,8 @@
     request_driver& driver_;
     node_tables& tables_;
     const caller_request& request_;
-    caller_reply& reply_;
-    exchange_ptr course_;
+    response_writer& reply_;
+    request_cancellation_ptr course_;
     std::shared_ptr<const catalog::configuration> config_;
     const duration queued_; ///< What waited on the link as it was read.
     const catalog::route* way_ = nullptr;
@@ -136,7 +136,7 @@
     duration out = way_->timeout;
     if (request_.facts.patience)
         out = std::min(out, *request_.facts.patience);
-    return dispatch::time_at_node(out, queued_, request_.dialed);
+    return dispatch::time_at_node(out, queued_, request_.first_on_connection);
 }
 
 duration request_run::time_left() const
@@ -209,16 +209,16 @@
                  least_token_wait);
     const instant until = tables_.now() + wait;
     const shortage got =
-        co_await driver_.desk_.obtain(team_->id, worst, urgency(), until);
+        co_await driver_.desk_.acquire(team_->id, worst, urgency(), until);
     if (got == shortage::none) {
         set_aside_ = worst;
         co_return std::nullopt;
     }
-    if (got == shortage::never_covered)
+    if (got == shortage::exceeds_prepaid)
         co_return refusal{402, std::nullopt, "more than was prepaid"};
     const duration later =
-        got == shortage::short_for_a_moment
-            ? come_back
+        got == shortage::temporary
+            ? default_retry_after
             : part_of(time_left(), tables_.options.requests.come_back);
     co_return refusal{503, later, "short of tokens"};
 }
@@ -325,32 +325,32 @@
 {
     const bool repeatable = way_->repeats == catalog::repeat_rule::idempotent;
     attempt_input in{.tables = tables_,
-                     .course = *course_,
+                     .cancellation = *course_,
                      .request = request_,
-                     .way = *way_,
+                     .route = *way_,
                      .target = target,
-                     .order = order_for(target),
+                     .forwarding = order_for(target),
                      .reply = reply_,
                      .events = events_};
-    in.longest_rest = repeatable ? rest_if_repeatable : rest_if_once;
+    in.max_idle_time = repeatable ? rest_if_repeatable : rest_if_once;
     // Where one kept connection had ended, others may have: what is sent once
     // more goes out on a fresh one.
     if (so_far_.sent > 0)
-        in.longest_rest = duration(0);
+        in.max_idle_time = duration(0);
     if (another_is_possible()) {
-        in.first_byte_limit = std::max(
+        in.first_byte_timeout = std::max(
             part_of(way_->objective, tables_.options.requests.patience),
             least_patience);
         if (way_->streams)
-            in.gap_limit = part_of(way_->pause_objective,
-                                   tables_.options.requests.pause_patience);
+            in.progress_timeout = part_of(
+                way_->pause_objective, tables_.options.requests.pause_patience);
     }
     const dispatch::work_wish wanted = wish();
     tables_.book.started(target, wanted, tables_.now());
     retry_taken_ = false;
-    course_->on_silence([&] { return may_give_up_silent(target); });
+    course_->on_idle_timeout([&] { return may_give_up_silent(target); });
     attempt_outcome got = co_await run_attempt(in);
-    course_->on_silence(nullptr);
+    course_->on_idle_timeout(nullptr);
     tables_.book.finished(target, got.first_byte, got.evidence, tables_.now());
     co_return got;
 }
@@ -380,7 +380,7 @@
     }
     if (got.sent_at && !unharmed) {
         ++so_far_.may_have_run;
-        prompt_was_read_ |= !got.nothing_made;
+        prompt_was_read_ |= !got.produced_nothing;
     }
     if (got.ended == attempt_end::rejected)
         ++so_far_.rejections;
@@ -389,12 +389,12 @@
     suspect(got, target);
     // A target that ended a kept connection may be about to fall silent, so
     // another is better; alone in its service it is dialled anew.
-    if (got.idle_race)
-        tables_.pool.drop_idle({target.process(), target.address});
-    if (!got.idle_race || target.candidates > 1)
+    if (got.stale_connection)
+        tables_.pool.close_idle({target.process(), target.address});
+    if (!got.stale_connection || target.candidates > 1)
         tried_.push_back(target.process());
     so_far_.head_passed_on = reply_.begun();
-    so_far_.part_stands_alone |= got.part_stands_alone;
+    so_far_.part_stands_alone |= got.partial_body_sent;
     so_far_.time_left = time_left();
 }
 
@@ -428,9 +428,9 @@
 {
     const auto rest = tables_.book.wait_for_rest(wish(), tables_.now());
     if (!rest)
-        return come_back;
+        return default_retry_after;
     const duration spread =
-        std::max(part_of(*rest, come_back_spread), come_back);
+        std::max(part_of(*rest, come_back_spread), default_retry_after);
     return *rest + part_of(spread, tables_.random.unit());
 }
 
@@ -497,7 +497,7 @@
                          ? milliseconds_text(*last_sent_at_ - request_.arrived)
                          : ""},
          {"lag_ms", milliseconds_text(tables_.lag.at(tables_.now()))},
-         {"caller_end", end_text(course_->caller_end())},
+         {"caller_end", disconnect_reason(course_->caller_disconnect())},
          {"sends", std::to_string(so_far_.sent)},
          {"may_have_run", std::to_string(so_far_.may_have_run)},
          {"rejections", std::to_string(so_far_.rejections)},
@@ -520,12 +520,12 @@
 
 awaitable<void> request_run::refuse(const refusal& why)
 {
-    own_answer answer{why.status, request_.facts.id, why.retry_after,
-                      why.reason};
+    local_response answer{why.status, request_.facts.id, why.retry_after,
+                          why.reason};
     const bool own_fault = why.status == 503 || why.status == 402;
     log_end(own_fault ? event::request_refused : event::call_rejected,
             std::to_string(why.status), why.reason);
-    (void)co_await reply_.send_own(answer);
+    (void)co_await reply_.send_local(answer);
 }
 
 awaitable<void> request_run::conclude(next_action action,
@@ -533,7 +533,7 @@
 {
     settle();
     const std::string ended(to_string(last.ended));
-    own_answer answer;
+    local_response answer;
     answer.request = request_.facts.id;
     switch (action) {
     case next_action::finish:
@@ -544,7 +544,7 @@
         co_return;
     case next_action::pass_on:
         log_end(event::request_failed, "passed_on", last.detail);
-        (void)co_await reply_.send_whole(last.head, last.body);
+        (void)co_await reply_.send_complete(last.head, last.body);
         co_return;
     case next_action::say_not_run:
         answer.status = 503;
@@ -567,7 +567,7 @@
         log_end(event::request_failed, "cut", ended);
         co_return;
     }
-    (void)co_await reply_.send_own(answer);
+    (void)co_await reply_.send_local(answer);
 }
 
 awaitable<void> request_run::run()
@@ -591,12 +591,13 @@
     co_await attempt_until_done();
 }
 
-request_driver::request_driver(node_tables& tables, token_desk& desk)
+request_driver::request_driver(node_tables& tables, token_allocator& desk)
     : tables_(tables), desk_(desk), prober_(tables)
 {}
 
 awaitable<void> request_driver::serve(const caller_request& request,
-                                      caller_reply& reply, exchange_ptr course)
+                                      response_writer& reply,
+                                      request_cancellation_ptr course)
 {
     request_run run(*this, request, reply, std::move(course));
     co_await run.run();
--- a/libs/edge/caller_reply.cpp
+++ b/libs/edge/response_writer.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/edge/caller_reply.hpp"
+#include "fennelladder/edge/response_writer.hpp"
 
 #include "platform/request_headers.hpp"
 
@@ -20,10 +20,10 @@
 
 } // namespace
 
-caller_reply::caller_reply(tcp::socket& socket) : socket_(socket)
+response_writer::response_writer(tcp::socket& socket) : socket_(socket)
 {}
 
-void caller_reply::reset()
+void response_writer::reset()
 {
     no_body_ = false;
     begun_ = false;
@@ -31,7 +31,7 @@
     failure_ = {};
 }
 
-awaitable<bool> caller_reply::write(std::string bytes)
+awaitable<bool> response_writer::write(std::string bytes)
 {
     writing_ = true;
     co_await asio::async_write(socket_, asio::buffer(bytes), into(failure_));
@@ -39,7 +39,7 @@
     co_return !failure_;
 }
 
-std::string caller_reply::head_text(const answer_head& head) const
+std::string response_writer::head_text(const response_head& head) const
 {
     std::string out = "HTTP/1.1 " + std::to_string(head.status) + " ";
     out += head.reason + "\r\n" + head.headers;
@@ -48,36 +48,36 @@
     return out;
 }
 
-std::string caller_reply::length_line(const answer_head& head,
-                                      const std::string& body) const
+std::string response_writer::length_line(const response_head& head,
+                                         const std::string& body) const
 {
     // These statuses have no body and no length.
     if (head.status == 204 || head.status == 304)
         return {};
     const std::string length =
-        no_body_ ? head.stated_length : std::to_string(body.size());
+        no_body_ ? head.content_length : std::to_string(body.size());
     return length.empty() ? std::string()
                           : "Content-Length: " + length + "\r\n";
 }
 
-awaitable<bool> caller_reply::send_own(const own_answer& answer)
+awaitable<bool> response_writer::send_local(const local_response& answer)
 {
     const std::string body = nlohmann::json{{"error", answer.message}}.dump(
         -1, ' ', false, nlohmann::json::error_handler_t::replace);
-    answer_head head;
+    response_head head;
     head.status = answer.status;
     const auto reason = http::obsolete_reason(http::int_to_status(head.status));
     head.reason = std::string(reason.data(), reason.size());
     head.headers =
         adapter::own_answer_headers(answer.request, answer.retry_after) +
         "Content-Type: application/json\r\n";
-    head.stated_length = std::to_string(body.size());
-    const bool sent = co_await send_whole(head, body);
+    head.content_length = std::to_string(body.size());
+    const bool sent = co_await send_complete(head, body);
     co_return sent;
 }
 
-awaitable<bool> caller_reply::send_whole(const answer_head& head,
-                                         const std::string& body)
+awaitable<bool> response_writer::send_complete(const response_head& head,
+                                               const std::string& body)
 {
     begun_ = true;
     std::string out = head_text(head) + length_line(head, body) + "\r\n";
@@ -89,7 +89,7 @@
     co_return sent;
 }
 
-awaitable<bool> caller_reply::begin(const answer_head& head)
+awaitable<bool> response_writer::begin(const response_head& head)
 {
     begun_ = true;
     std::string out = head_text(head) + "Transfer-Encoding: chunked\r\n\r\n";
@@ -97,7 +97,7 @@
     co_return sent;
 }
 
-awaitable<bool> caller_reply::send_piece(const std::string& bytes)
+awaitable<bool> response_writer::send_chunk(const std::string& bytes)
 {
     // An empty chunk would end the body.
     if (bytes.empty())
@@ -107,7 +107,7 @@
     co_return sent;
 }
 
-awaitable<bool> caller_reply::finish()
+awaitable<bool> response_writer::finish()
 {
     std::string out = "0\r\n\r\n";
     const bool sent = co_await write(std::move(out));
--- a/libs/edge/simple_server.cpp
+++ b/libs/edge/simple_server.cpp
@@ -76,7 +76,7 @@
 
 awaitable<void> simple_server::serve(std::shared_ptr<tcp::socket> socket)
 {
-    guard_silence(*socket, idle_limit);
+    enable_keepalive(*socket, idle_limit);
     beast::flat_buffer buf;
     socket_deadline limit(socket);
     for (;;) {
@@ -89,7 +89,7 @@
         if (ec)
             co_return;
         const auto& asked = parser.get();
-        const simple_answer made = answer_(request_of(asked));
+        const simple_response made = answer_(request_of(asked));
         http::response<http::string_body> answer(
             http::int_to_status(made.status), 11);
         answer.set(http::field::content_type, made.content_type);
--- a/libs/edge/socket_deadline.cpp
+++ b/libs/edge/socket_deadline.cpp
@@ -25,7 +25,7 @@
     asio::steady_timer timer_;
     std::optional<time_point> deadline_;
     std::optional<time_point> armed_for_;
-    second_look<time_point> look_;
+    expiry_check<time_point> look_;
     bool waited_for_unread_ = false;
     bool has_closed_ = false;
 };
@@ -33,7 +33,7 @@
 void socket_deadline::course::set(time_point at)
 {
     deadline_ = at;
-    look_.begin_anew();
+    look_.reset();
     waited_for_unread_ = false;
     // One that rings too early finds out and waits for the rest.
     if (!armed_for_ || at < *armed_for_)
@@ -64,13 +64,13 @@
     if (!deadline_)
         return;
     const auto now = asio::steady_timer::clock_type::now();
-    if (!look_.has_passed(*deadline_, now))
-        return wait_until(look_.due(*deadline_));
+    if (!look_.has_expired(*deadline_, now))
+        return wait_until(look_.next_check(*deadline_));
     // A second look that was queued before a stall may run ahead of what came
     // during it. Once only: what nobody reads is no reason to stay open.
     if (!waited_for_unread_ && has_unread()) {
         waited_for_unread_ = true;
-        return wait_until(now + last_look);
+        return wait_until(now + expiry_grace);
     }
     close();
 }
--- a/libs/edge/socket_deadline_test.cpp
+++ b/libs/edge/socket_deadline_test.cpp
@@ -124,12 +124,13 @@
         got = true;
         both.deadline.clear();
     });
-    asio::steady_timer before(both.io, limit + last_look / 4);
+    asio::steady_timer before(both.io, limit + expiry_grace / 4);
     before.async_wait([&](net_error) {
         // Both timers' handlers are queued after this.
-        asio::post(both.io, [] { std::this_thread::sleep_for(2 * last_look); });
+        asio::post(both.io,
+                   [] { std::this_thread::sleep_for(2 * expiry_grace); });
     });
-    asio::steady_timer between(both.io, limit + last_look / 2);
+    asio::steady_timer between(both.io, limit + expiry_grace / 2);
     between.async_wait(
         [&](net_error) { both.far_end.send(asio::buffer("x", 1)); });
     both.io.run_for(seconds(2));
@@ -184,6 +185,6 @@
     both.deadline.close_after(milliseconds(1));
     both.near_end.reset();
     both.io.restart();
-    both.io.run_for(5 * last_look);
+    both.io.run_for(5 * expiry_grace);
     CHECK(both.deadline.has_closed());
 }
--- a/libs/edge/stall_test.cpp
+++ b/libs/edge/stall_test.cpp
@@ -123,7 +123,7 @@
 {
     constexpr duration limit = milliseconds(350);
     world all;
-    target_pool pool(all.io, {});
+    connection_pool pool(all.io, {});
     const connection_ptr made =
         pool.make({{target_id("i-1"), {}}, all.address()});
     std::optional<bool> opened;
--- a/libs/edge/stock_keeper.cpp
+++ b/libs/edge/stock_refiller.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/edge/stock_keeper.hpp"
+#include "fennelladder/edge/stock_refiller.hpp"
 
 #include <algorithm>
 
@@ -29,44 +29,44 @@
 
 } // namespace
 
-stock_keeper::stock_keeper(node_tables& tables, platform_client& client,
-                           const mesh::stock_book& peers, hooks hooks)
+stock_refiller::stock_refiller(node_tables& tables, platform_client& client,
+                               const mesh::stock_book& peers, hooks hooks)
     : tables_(tables), peers_(peers), hooks_(std::move(hooks)),
       writer_(tables, client,
               [this](const prepaid::token_amounts& granted) { take(granted); }),
       wake_(tables.io)
 {}
 
-void stock_keeper::start()
+void stock_refiller::start()
 {
     spawn(tables_.io, keep());
 }
 
 // Who writes.
 
-const mesh::node_row* stock_keeper::writer_elsewhere() const
+const mesh::node_row* stock_refiller::remote_writer() const
 {
-    if (tables_.now() < alone_until_ && is_stockist())
+    if (tables_.now() < alone_until_ && is_stock_holder())
         return nullptr;
     return tables_.nodes.leader(writer_salt, tables_.contact.reached,
                                 tables_.capacity(), tables_.now());
 }
 
-void stock_keeper::writer_is_silent()
+void stock_refiller::on_writer_timeout()
 {
     alone_until_ = tables_.now() + alone_span;
     look_soon();
 }
 
-void stock_keeper::note_reach()
+void stock_refiller::note_reach()
 {
-    const mesh::node_row* other = writer_elsewhere();
+    const mesh::node_row* other = remote_writer();
     reached_ = other != nullptr ? other->last.platform_reached
                                 : tables_.contact.reached;
     outages_.note(reached_, tables_.now());
 }
 
-std::vector<host_id> stock_keeper::holders() const
+std::vector<host_id> stock_refiller::holders() const
 {
     const prepaid::stock_options& options = tables_.options.stock;
     const instant now = tables_.now();
@@ -78,12 +78,12 @@
     return prepaid::holders_of(tables_.nodes.members(now), options);
 }
 
-std::vector<host_id> stock_keeper::stockists(const team_id& team) const
+std::vector<host_id> stock_refiller::stock_holders(const team_id& team) const
 {
     return prepaid::stockists_of(team, holders(), tables_.options.stock);
 }
 
-bool stock_keeper::is_stockist() const
+bool stock_refiller::is_stock_holder() const
 {
     const auto all = holders();
     return std::ranges::find(all, tables_.settings.host) != all.end();
@@ -91,7 +91,7 @@
 
 // What is left.
 
-std::optional<tokens> stock_keeper::allotted_of(const team_id& team) const
+std::optional<tokens> stock_refiller::allotted_of(const team_id& team) const
 {
     const auto heard = allotted_.find(team);
     std::optional<tokens> out;
@@ -105,13 +105,13 @@
     return std::max(out.value_or(own), own);
 }
 
-void stock_keeper::learn_allotted(const team_id& team, tokens allotted)
+void stock_refiller::raise_allotted(const team_id& team, tokens allotted)
 {
     tokens& known = allotted_[team];
     known = std::max(known, allotted);
 }
 
-tokens stock_keeper::left_of(const team_id& team) const
+tokens stock_refiller::left_of(const team_id& team) const
 {
     // Peers may ask a node that has just started.
     if (tables_.config == nullptr)
@@ -123,16 +123,16 @@
     return std::max(*payer->prepaid - out, tokens(0));
 }
 
-bool stock_keeper::may_take_out(const team_id& team) const
+bool stock_refiller::can_withdraw(const team_id& team) const
 {
-    return writer_elsewhere() == nullptr && tables_.contact.reached &&
+    return remote_writer() == nullptr && tables_.contact.reached &&
            left_of(team) > tokens(0);
 }
 
 // What to take.
 
-std::uint64_t stock_keeper::want(const team_id& team, tokens missing,
-                                 bool patient)
+std::uint64_t stock_refiller::request_tokens(const team_id& team,
+                                             tokens missing, bool patient)
 {
     wanted_tokens& it = wanted_[team];
     it.amount += missing;
@@ -142,13 +142,13 @@
     return rounds_begun_ + 1;
 }
 
-bool stock_keeper::is_over(std::uint64_t round) const
+bool stock_refiller::is_round_done(std::uint64_t round) const
 {
-    return rounds_over_ >= round || writer_elsewhere() != nullptr;
+    return rounds_over_ >= round || remote_writer() != nullptr;
 }
 
 /// Nothing can be taken out now, so nobody should wait for it.
-void stock_keeper::give_up_round()
+void stock_refiller::give_up_round()
 {
     wanted_.clear();
     ++rounds_begun_;
@@ -156,21 +156,21 @@
 }
 
 /// Whoever wanted something before `begun` has got what there was.
-void stock_keeper::end_round(instant begun)
+void stock_refiller::end_round(instant begun)
 {
     rounds_over_ = rounds_begun_;
     hooks_.round_over(begun);
 }
 
-bool stock_keeper::has_urgent() const
+bool stock_refiller::has_urgent() const
 {
     return std::ranges::any_of(wanted_,
                                [](const auto& it) { return it.second.urgent; });
 }
 
 prepaid::stock_state
-stock_keeper::state_of(const team_id& team, tokens total,
-                       const std::vector<host_id>& holders) const
+stock_refiller::state_of(const team_id& team, tokens total,
+                         const std::vector<host_id>& holders) const
 {
     prepaid::stock_state out;
     const instant now = tables_.now();
@@ -194,7 +194,7 @@
     return out;
 }
 
-prepaid::token_amounts stock_keeper::wishes() const
+prepaid::token_amounts stock_refiller::wishes() const
 {
     prepaid::token_amounts out;
     const auto all = holders();
@@ -207,7 +207,7 @@
     return out;
 }
 
-void stock_keeper::take(const prepaid::token_amounts& granted)
+void stock_refiller::take(const prepaid::token_amounts& granted)
 {
     for (const auto& [team, amount] : granted)
         tables_.purse.credit(team, amount);
@@ -217,9 +217,9 @@
 /// Has the writer fill up what this node is to hold. Each team is asked for
 /// once in the time of a regular write. Most nodes of a large fleet hold no
 /// stock; to them a look over all teams and nodes says nothing.
-void stock_keeper::ask_writer(const host_id& writer)
+void stock_refiller::ask_writer(const host_id& writer)
 {
-    if (!is_stockist())
+    if (!is_stock_holder())
         return;
     const instant now = tables_.now();
     for (const auto& [team, wish] : wishes()) {
@@ -231,7 +231,7 @@
     }
 }
 
-awaitable<bool> stock_keeper::write_round()
+awaitable<bool> stock_refiller::write_round()
 {
     const prepaid::stock_options& options = tables_.options.stock;
     const duration rested = tables_.now() - last_write_;
@@ -248,7 +248,7 @@
     ++rounds_begun_;
     bool written = true;
     if (!amounts.empty()) {
-        written = co_await writer_.take_out(amounts);
+        written = co_await writer_.withdraw(amounts);
         last_write_ = tables_.now();
     }
     end_round(begun);
@@ -256,9 +256,9 @@
 }
 
 /// One look at the stock. False when a call to the platform failed.
-awaitable<bool> stock_keeper::tend()
+awaitable<bool> stock_refiller::tend()
 {
-    const mesh::node_row* other = writer_elsewhere();
+    const mesh::node_row* other = remote_writer();
     if (other != nullptr && !writer_.in_doubt()) {
         give_up_round();
         ask_writer(other->last.host);
@@ -267,7 +267,7 @@
     // A record without anything left may have become better than it looks.
     const duration most_age =
         wanted_.empty() ? duration::max() : empty_record_age;
-    const bool known = co_await writer_.renew(most_age);
+    const bool known = co_await writer_.refresh(most_age);
     if (!known) {
         give_up_round();
         co_return false;
@@ -276,7 +276,7 @@
     co_return written;
 }
 
-awaitable<void> stock_keeper::keep()
+awaitable<void> stock_refiller::keep()
 {
     instant not_before;
     for (;;) {
--- a/libs/edge/target_connection.cpp
+++ b/libs/edge/target_connection.cpp
@@ -13,21 +13,22 @@
     : to(std::move(target)), socket(io)
 {}
 
-bool is_spent(tcp::socket& socket)
+bool is_stale(tcp::socket& socket)
 {
     char byte = 0;
     const ssize_t n =
         ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
     const net_error ec(n < 0 ? errno : 0, boost::system::system_category());
-    return !is_nothing_yet(ec);
+    return !is_transient(ec);
 }
 
-target_pool::target_pool(asio::io_context& io, target_pool_options options)
+connection_pool::connection_pool(asio::io_context& io,
+                                 connection_pool_options options)
     : io_(io), options_(options)
 {}
 
-connection_ptr target_pool::take_idle(const target_endpoint& to,
-                                      duration longest, instant now)
+connection_ptr connection_pool::take_idle(const target_endpoint& to,
+                                          duration longest, instant now)
 {
     const auto found = idle_.find(to);
     if (found == idle_.end())
@@ -37,22 +38,22 @@
         connection_ptr it = idle.back();
         const duration rested = now - it->idle_since;
         // The others have rested for longer still.
-        if (rested > longest && rested < it->idle_limit)
+        if (rested > longest && rested < it->idle_timeout)
             return nullptr;
         idle.pop_back();
-        if (rested < it->idle_limit && !is_spent(it->socket))
+        if (rested < it->idle_timeout && !is_stale(it->socket))
             return it;
     }
     return nullptr;
 }
 
-connection_ptr target_pool::make(const target_endpoint& to)
+connection_ptr connection_pool::make(const target_endpoint& to)
 {
     ++opened_;
     return std::make_shared<target_connection>(io_, to);
 }
 
-awaitable<status> target_pool::open(connection_ptr made, duration limit)
+awaitable<status> connection_pool::open(connection_ptr made, duration limit)
 {
     const auto endpoint = parse_endpoint(made->to.address);
     if (!endpoint)
@@ -67,33 +68,34 @@
         co_return fail(error_code::unavailable, "no connection in time");
     if (ec)
         co_return fail(error_code::unavailable, "connect: " + ec.message());
-    guard_silence(made->socket, options_.silence_limit);
+    enable_keepalive(made->socket, options_.keepalive_timeout);
     co_return status();
 }
 
-void target_pool::give_back(connection_ptr used,
-                            std::optional<duration> keep_alive, instant now)
+void connection_pool::release(connection_ptr used,
+                              std::optional<duration> keep_alive, instant now)
 {
     auto& idle = idle_[used->to];
-    if (idle.size() >= options_.most_idle)
+    if (idle.size() >= options_.max_idle_per_target)
         return;
     used->used = true;
     used->idle_since = now;
-    used->idle_limit = keep_alive ? *keep_alive * 4 / 5 : options_.idle_limit;
+    used->idle_timeout =
+        keep_alive ? *keep_alive * 4 / 5 : options_.idle_timeout;
     idle.push_back(std::move(used));
 }
 
-void target_pool::drop_idle(const target_endpoint& to)
+void connection_pool::close_idle(const target_endpoint& to)
 {
     idle_.erase(to);
 }
 
-void target_pool::drop_old(instant now)
+void connection_pool::close_expired(instant now)
 {
     for (auto& [target, idle] : idle_)
         std::erase_if(idle, [now](const connection_ptr& it) {
-            return now - it->idle_since >= it->idle_limit ||
-                   is_spent(it->socket);
+            return now - it->idle_since >= it->idle_timeout ||
+                   is_stale(it->socket);
         });
     std::erase_if(idle_, [](const auto& it) { return it.second.empty(); });
 }
--- a/libs/edge/target_prober.cpp
+++ b/libs/edge/target_prober.cpp
@@ -64,12 +64,12 @@
     if (!entry || entry->process() != target)
         co_return false;
     const target_endpoint to{target, entry->address};
-    tables_.pool.drop_idle(to);
+    tables_.pool.close_idle(to);
     connection_ptr made = tables_.pool.make(to);
     const status opened = co_await tables_.pool.open(made, probe_limit);
     if (!opened)
         co_return true;
-    tables_.pool.give_back(made, std::nullopt, tables_.now());
+    tables_.pool.release(made, std::nullopt, tables_.now());
     co_return false;
 }
 
--- a/libs/edge/token_desk.cpp
+++ b/libs/edge/token_allocator.cpp
@@ -2,7 +2,7 @@
 // number and repeats the answer as often as it is asked. So whatever is lost,
 // repeated or late, no tokens come into being.
 
-#include "fennelladder/edge/token_desk.hpp"
+#include "fennelladder/edge/token_allocator.hpp"
 
 #include "fennelladder/telemetry/log.hpp"
 
@@ -43,7 +43,7 @@
 /// requests that still wait as a node ends are destroyed with the io_context
 /// that holds their coroutines, after the desk. Counts of the desk's own would
 /// be gone by then, and taking a request out of them frees them twice.
-class token_desk::waiting_request
+class token_allocator::waiting_request
 {
 public:
     waiting_request(std::shared_ptr<waiting_counts> counts, const team_id& team)
@@ -67,8 +67,8 @@
     team_id team_;
 };
 
-token_desk::token_desk(node_tables& tables, platform_client& client,
-                       sender send)
+token_allocator::token_allocator(node_tables& tables, platform_client& client,
+                                 sender send)
     : tables_(tables), send_(std::move(send)), shares_(tables.options.ration),
       keeper_(tables, client, peers_,
               {.credited = [this] { answer_pending(instant()); },
@@ -86,12 +86,12 @@
                    }})
 {}
 
-void token_desk::start()
+void token_allocator::start()
 {
     keeper_.start();
 }
 
-void token_desk::changed()
+void token_allocator::changed()
 {
     for (const auto& it : waiting_)
         if (const auto timer = it.lock())
@@ -99,7 +99,7 @@
     waiting_.clear();
 }
 
-awaitable<void> token_desk::wait_for_change(instant until)
+awaitable<void> token_allocator::wait_for_change(instant until)
 {
     const duration left = until - tables_.now();
     if (left <= duration(0))
@@ -111,12 +111,12 @@
 
 // Spending.
 
-awaitable<shortage> token_desk::obtain(const team_id& team, tokens amount,
-                                       int urgency, instant until)
+awaitable<shortage> token_allocator::acquire(const team_id& team, tokens amount,
+                                             int urgency, instant until)
 {
     const auto* payer = tables_.config->find_team(team);
     if (payer == nullptr || !payer->prepaid || *payer->prepaid < amount)
-        co_return shortage::never_covered;
+        co_return shortage::exceeds_prepaid;
     shares_.note(team, urgency, amount, tables_.now());
     const waiting_request here(waiting_by_team_, team);
     std::set<host_id> tried;
@@ -151,14 +151,14 @@
 
 /// While no tokens come, what is left has to last. The platform is away, or
 /// has nothing left of the team's.
-tokens token_desk::kept_back(const team_id& team, int urgency) const
+tokens token_allocator::kept_back(const team_id& team, int urgency) const
 {
     return keeper_.is_scarce(team)
                ? shares_.kept_back(team, urgency, tables_.now())
                : tokens(0);
 }
 
-bool token_desk::reserve(const team_id& team, tokens amount, int urgency)
+bool token_allocator::reserve(const team_id& team, tokens amount, int urgency)
 {
     if (tables_.purse.free_of(team) - amount < kept_back(team, urgency))
         return false;
@@ -166,7 +166,7 @@
 }
 
 /// Takes out of the purse what a peer may have of what it asks for.
-tokens token_desk::debit(const mesh::token_ask& ask)
+tokens token_allocator::debit(const mesh::token_ask& ask)
 {
     const tokens free = tables_.purse.free_of(ask.team);
     const tokens spare = free - kept_back(ask.team, ask.urgency);
@@ -177,8 +177,8 @@
 /// What to ask others for. Where several requests of the team wait, each would
 /// count the same free tokens as its own, and together they would ask for too
 /// little.
-tokens token_desk::missing_of(const team_id& team, tokens amount,
-                              int urgency) const
+tokens token_allocator::missing_of(const team_id& team, tokens amount,
+                                   int urgency) const
 {
     const auto waiting = waiting_by_team_->find(team);
     const bool alone =
@@ -187,7 +187,7 @@
     return alone ? amount - std::max(spare, tokens(0)) : amount;
 }
 
-tokens token_desk::wanted_beyond(const team_id& team) const
+tokens token_allocator::wanted_beyond(const team_id& team) const
 {
     const tokens left =
         keeper_.is_scarce(team) ? tokens(0) : keeper_.left_of(team);
@@ -196,12 +196,12 @@
 }
 
 /// Has tokens taken out of the record, here or where it is written.
-token_desk::record_question
-token_desk::ask_for_more(const team_id& team, tokens missing, int urgency)
+token_allocator::record_question
+token_allocator::ask_for_more(const team_id& team, tokens missing, int urgency)
 {
-    const mesh::node_row* writer = keeper_.writer_elsewhere();
+    const mesh::node_row* writer = keeper_.remote_writer();
     if (writer == nullptr)
-        return {.round = keeper_.want(team, missing, false)};
+        return {.round = keeper_.request_tokens(team, missing, false)};
     if (!tables_.options.lends_tokens)
         return {};
     return {.number =
@@ -209,26 +209,25 @@
                     {.team = team, .wanted = missing, .urgency = urgency})};
 }
 
-bool token_desk::is_over(const record_question& question) const
+bool token_allocator::is_over(const record_question& question) const
 {
     if (question.number)
         return !asked_.contains(*question.number);
-    return !question.round || keeper_.is_over(*question.round);
+    return !question.round || keeper_.is_round_done(*question.round);
 }
 
 /// Whether the record can't be what brings them.
-bool token_desk::is_hopeless(const team_id& team, tokens missing) const
+bool token_allocator::is_hopeless(const team_id& team, tokens missing) const
 {
     return !keeper_.reaches_platform() || keeper_.left_of(team) < missing;
 }
 
-shortage token_desk::shortage_of(const team_id& team) const
+shortage token_allocator::shortage_of(const team_id& team) const
 {
-    return keeper_.is_scarce(team) ? shortage::short_for_long
-                                   : shortage::short_for_a_moment;
+    return keeper_.is_scarce(team) ? shortage::indefinite : shortage::temporary;
 }
 
-void token_desk::settle(const team_id& team, tokens reserved, tokens used)
+void token_allocator::settle(const team_id& team, tokens reserved, tokens used)
 {
     tables_.purse.settle(team, reserved, used, tables_.now());
     if (used < reserved)
@@ -238,7 +237,8 @@
 // Transfers between nodes.
 
 std::optional<host_id>
-token_desk::best_peer(const team_id& team, const std::set<host_id>& tried) const
+token_allocator::best_peer(const team_id& team,
+                           const std::set<host_id>& tried) const
 {
     if (!tables_.options.lends_tokens)
         return std::nullopt;
@@ -246,13 +246,13 @@
     if (auto best = peers_.richest(team, tried, since))
         return best;
     // Nobody is known to have any: a stockist may have got some since.
-    for (const host_id& it : keeper_.stockists(team))
+    for (const host_id& it : keeper_.stock_holders(team))
         if (!tried.contains(it) && tables_.nodes.rows().contains(it))
             return it;
     return std::nullopt;
 }
 
-std::string token_desk::address_of(const host_id& host) const
+std::string token_allocator::address_of(const host_id& host) const
 {
     const auto it = tables_.nodes.rows().find(host);
     return it == tables_.nodes.rows().end() ? std::string()
@@ -260,7 +260,8 @@
 }
 
 /// Asks with the next number; `what` says the rest.
-mesh::transfer_number token_desk::ask(const host_id& peer, mesh::token_ask what)
+mesh::transfer_number token_allocator::ask(const host_id& peer,
+                                           mesh::token_ask what)
 {
     last_number_ = last_number_.next();
     what.life = tables_.life;
@@ -273,7 +274,8 @@
     return last_number_;
 }
 
-void token_desk::on_ask(const mesh::token_ask& ask, const std::string& from)
+void token_allocator::on_token_request(const mesh::token_ask& ask,
+                                       const std::string& from)
 {
     const transfer_key key{ask.life, ask.number};
     const auto known = answered_.find(key);
@@ -292,20 +294,20 @@
     if (!ask.patient)
         shares_.note(ask.team, ask.urgency, ask.wanted, tables_.now());
     const tokens free = tables_.purse.free_of(ask.team);
-    if (free < ask.wanted && keeper_.may_take_out(ask.team)) {
+    if (free < ask.wanted && keeper_.can_withdraw(ask.team)) {
         pending_.push_back({ask, from, tables_.now()});
-        keeper_.want(ask.team, ask.wanted - free, ask.patient);
+        keeper_.request_tokens(ask.team, ask.wanted - free, ask.patient);
         return;
     }
     // Two nodes that are short would hand the same tokens to and fro.
     const bool none_to_spare = waiting_by_team_->contains(ask.team) &&
-                               keeper_.writer_elsewhere() != nullptr;
+                               keeper_.remote_writer() != nullptr;
     give(ask, from, none_to_spare ? tokens(0) : debit(ask));
 }
 
 /// Answers those that wait and can have all they want now, and those that wait
 /// since before `begun` with what there is.
-void token_desk::answer_pending(instant begun)
+void token_allocator::answer_pending(instant begun)
 {
     std::vector<pending_ask> left;
     for (pending_ask& it : std::exchange(pending_, {})) {
@@ -321,9 +323,9 @@
 
 /// A writer that doesn't answer is dead, or cut off from here, and others may
 /// need longer to notice.
-void token_desk::note_silent_writer()
+void token_allocator::note_silent_writer()
 {
-    const mesh::node_row* writer = keeper_.writer_elsewhere();
+    const mesh::node_row* writer = keeper_.remote_writer();
     if (writer == nullptr)
         return;
     const instant now = tables_.now();
@@ -336,11 +338,11 @@
                now - what.at > patience;
     });
     if (silent)
-        keeper_.writer_is_silent();
+        keeper_.on_writer_timeout();
 }
 
-void token_desk::give(const mesh::token_ask& ask, const std::string& from,
-                      tokens amount)
+void token_allocator::give(const mesh::token_ask& ask, const std::string& from,
+                           tokens amount)
 {
     mesh::datagram message;
     message.give = {ask.life, ask.number, ask.team, amount,
@@ -356,7 +358,7 @@
                     std::to_string(tables_.purse.free_of(ask.team).count())}});
 }
 
-void token_desk::on_give(const mesh::token_give& give)
+void token_allocator::on_token_grant(const mesh::token_give& give)
 {
     const auto it = asked_.find(give.number);
     const bool ours = give.life == tables_.life && it != asked_.end() &&
@@ -366,12 +368,13 @@
     answered_by_[it->second.peer] = tables_.now();
     asked_.erase(it);
     if (give.allotted)
-        keeper_.learn_allotted(give.team, *give.allotted);
+        keeper_.raise_allotted(give.team, *give.allotted);
     tables_.purse.credit(give.team, give.amount);
     changed();
 }
 
-void token_desk::on_gift(const mesh::token_gift& gift, const std::string& from)
+void token_allocator::on_token_push(const mesh::token_gift& gift,
+                                    const std::string& from)
 {
     const auto key = std::make_pair(gift.life, gift.number);
     if (gifts_taken_.emplace(key, tables_.now()).second) {
@@ -387,18 +390,18 @@
     send_(from, message);
 }
 
-void token_desk::on_gift_taken(const mesh::token_gift_taken& taken)
+void token_allocator::on_push_acknowledged(const mesh::token_gift_taken& taken)
 {
     if (taken.life == tables_.life)
         gifts_.erase(taken.number);
 }
 
-void token_desk::on_stock(const mesh::beacon& from)
+void token_allocator::on_heartbeat(const mesh::beacon& from)
 {
     peers_.hear(from, tables_.now());
 }
 
-void token_desk::on_death(const host_id& host)
+void token_allocator::on_node_death(const host_id& host)
 {
     const auto lost = peers_.forget(host);
     if (lost.empty())
@@ -411,7 +414,7 @@
                                    {"amount", std::to_string(total.count())}});
 }
 
-std::vector<mesh::token_stock> token_desk::own_stock() const
+std::vector<mesh::token_stock> token_allocator::local_stock() const
 {
     std::vector<mesh::token_stock> out;
     const instant now = tables_.now();
@@ -425,8 +428,8 @@
 }
 
 /// One taker a gift: two could both credit it.
-awaitable<void> token_desk::repeat_gift(mesh::token_gift gift, std::string to,
-                                        instant until)
+awaitable<void> token_allocator::repeat_gift(mesh::token_gift gift,
+                                             std::string to, instant until)
 {
     asio::steady_timer timer(tables_.io);
     while (gifts_.contains(gift.number) && tables_.now() < until) {
@@ -437,14 +440,14 @@
     }
 }
 
-awaitable<void> token_desk::hand_over(duration limit)
+awaitable<void> token_allocator::push_all(duration limit)
 {
     const instant until = tables_.now() + limit;
-    for (const mesh::token_stock& it : own_stock()) {
+    for (const mesh::token_stock& it : local_stock()) {
         if (it.free == tokens(0))
             continue;
         std::string taker;
-        for (const host_id& host : keeper_.stockists(it.team))
+        for (const host_id& host : keeper_.stock_holders(it.team))
             if (taker.empty() && host != tables_.settings.host)
                 taker = address_of(host);
         if (taker.empty())
@@ -464,7 +467,7 @@
                    {"amount", std::to_string(gift.amount.count())}});
 }
 
-void token_desk::forget_old()
+void token_allocator::forget_old()
 {
     const instant now = tables_.now();
     std::erase_if(asked_, [&](const auto& it) {
--- a/libs/edge/token_desk_test.cpp
+++ b/libs/edge/token_allocator_test.cpp
@@ -1,7 +1,7 @@
 // Transfers of tokens between nodes over a network that loses, doubles and
 // reorders datagrams.
 
-#include "fennelladder/edge/token_desk.hpp"
+#include "fennelladder/edge/token_allocator.hpp"
 #include "fennelladder/telemetry/log.hpp"
 
 #include <CppUTest/TestHarness.h>
@@ -42,7 +42,7 @@
     ~fleet() { telemetry::set_log_sink(nullptr); }
 
     prepaid::purse& purse(int i) { return nodes_[i]->tables.purse; }
-    token_desk& desk(int i) { return nodes_[i]->desk; }
+    token_allocator& desk(int i) { return nodes_[i]->desk; }
     asio::io_context& io() { return io_; }
     instant now() { return time_.now(); }
 
@@ -56,11 +56,11 @@
             hello.sequence = ++sequence_;
             hello.state = mesh::node_state::ready;
             hello.peer_address = address_of(from);
-            hello.stock = desk(from).own_stock();
+            hello.stock = desk(from).local_stock();
             for (int to = 0; to < 3; ++to)
                 if (to != from) {
                     nodes_[to]->tables.nodes.hear(hello, now());
-                    desk(to).on_stock(hello);
+                    desk(to).on_heartbeat(hello);
                 }
         }
     }
@@ -110,7 +110,7 @@
 
         node_tables tables;
         platform_client client;
-        token_desk desk;
+        token_allocator desk;
     };
 
     struct letter
@@ -138,15 +138,15 @@
             letters_.erase(letters_.begin() + static_cast<std::ptrdiff_t>(i));
             const auto message = mesh::decode_datagram(it.bytes);
             CHECK(message.has_value());
-            token_desk& desk = nodes_[it.to]->desk;
+            token_allocator& desk = nodes_[it.to]->desk;
             if (message->ask)
-                desk.on_ask(*message->ask, address_of(it.from));
+                desk.on_token_request(*message->ask, address_of(it.from));
             if (message->give)
-                desk.on_give(*message->give);
+                desk.on_token_grant(*message->give);
             if (message->gift)
-                desk.on_gift(*message->gift, address_of(it.from));
+                desk.on_token_push(*message->gift, address_of(it.from));
             if (message->gift_taken)
-                desk.on_gift_taken(*message->gift_taken);
+                desk.on_push_acknowledged(*message->gift_taken);
         }
     }
 
@@ -160,12 +160,12 @@
     std::vector<std::unique_ptr<node>> nodes_;
 };
 
-awaitable<void> obtain(fleet& all, int i, tokens amount, int& got,
-                       int urgency = 0)
+awaitable<void> acquire(fleet& all, int i, tokens amount, int& got,
+                        int urgency = 0)
 {
     const instant until = all.now() + milliseconds(80);
     const shortage lacks =
-        co_await all.desk(i).obtain(team, amount, urgency, until);
+        co_await all.desk(i).acquire(team, amount, urgency, until);
     if (lacks != shortage::none)
         co_return;
     ++got;
@@ -174,16 +174,16 @@
 
 } // namespace
 
-TEST_GROUP(token_desk){};
+TEST_GROUP(token_allocator){};
 
-TEST(token_desk, a_node_without_tokens_gets_them_from_a_peer)
+TEST(token_allocator, a_node_without_tokens_gets_them_from_a_peer)
 {
     fleet all(1, 0);
     all.purse(0).credit(team, tokens(1000));
     all.tell_stock();
     int got = 0;
-    spawn(all.io(), obtain(all, 1, tokens(300), got));
-    spawn(all.io(), obtain(all, 2, tokens(500), got));
+    spawn(all.io(), acquire(all, 1, tokens(300), got));
+    spawn(all.io(), acquire(all, 2, tokens(500), got));
     all.run_for(milliseconds(100));
     CHECK_EQUAL(2, got);
     CHECK(all.purse(0).free_of(team) == tokens(200));
@@ -191,25 +191,25 @@
 }
 
 // What is left lies in pieces at several nodes; together it is enough.
-TEST(token_desk, pieces_are_put_together)
+TEST(token_allocator, pieces_are_put_together)
 {
     fleet all(1, 0);
     all.purse(0).credit(team, tokens(200));
     all.purse(1).credit(team, tokens(200));
     all.tell_stock();
     int got = 0;
-    spawn(all.io(), obtain(all, 2, tokens(400), got));
+    spawn(all.io(), acquire(all, 2, tokens(400), got));
     all.run_for(milliseconds(100));
     CHECK_EQUAL(1, got);
 }
 
-TEST(token_desk, a_request_that_nobody_can_cover_is_given_up)
+TEST(token_allocator, a_request_that_nobody_can_cover_is_given_up)
 {
     fleet all(1, 0);
     all.purse(0).credit(team, tokens(200));
     all.tell_stock();
     int got = 0;
-    spawn(all.io(), obtain(all, 2, tokens(400), got));
+    spawn(all.io(), acquire(all, 2, tokens(400), got));
     all.run_for(milliseconds(150));
     CHECK_EQUAL(0, got);
     CHECK(all.held() == tokens(200));
@@ -217,7 +217,7 @@
 
 // Story: a third of all datagrams are lost and a third come twice, in any
 // order. Tokens may get lost on the way; none may come into being.
-TEST(token_desk, a_bad_network_makes_no_tokens)
+TEST(token_allocator, a_bad_network_makes_no_tokens)
 {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         fleet all(seed, 0.33);
@@ -229,7 +229,7 @@
             const tokens amount(
                 static_cast<std::int64_t>(1 + random.below(300)));
             spawn(all.io(),
-                  obtain(all, static_cast<int>(random.below(3)), amount, got));
+                  acquire(all, static_cast<int>(random.below(3)), amount, got));
             all.run_for(milliseconds(5));
             CHECK(all.held() <= tokens(5000));
         }
@@ -239,12 +239,12 @@
     }
 }
 
-TEST(token_desk, a_leaving_node_hands_its_tokens_on)
+TEST(token_allocator, a_leaving_node_hands_its_tokens_on)
 {
     fleet all(3, 0.33);
     all.purse(0).credit(team, tokens(1000));
     all.tell_stock();
-    spawn(all.io(), all.desk(0).hand_over(milliseconds(800)));
+    spawn(all.io(), all.desk(0).push_all(milliseconds(800)));
     all.run_for(milliseconds(900));
     CHECK(all.purse(0).free_of(team) == tokens(0));
     CHECK(all.held() == tokens(1000));
@@ -253,7 +253,7 @@
 // Story: the platform is away. A node holds tokens that urgent requests will
 // want; a large request of less urgency leaves these where they are, also at
 // the nodes that it asks.
-TEST(token_desk, the_last_tokens_wait_for_more_urgent_requests)
+TEST(token_allocator, the_last_tokens_wait_for_more_urgent_requests)
 {
     fleet all(4, 0);
     for (int i = 0; i < 2; ++i)
@@ -262,19 +262,19 @@
     all.run_for(milliseconds(900));
     int urgent = 0;
     for (int i = 0; i < 8; ++i) {
-        spawn(all.io(), obtain(all, 0, tokens(1'000), urgent));
+        spawn(all.io(), acquire(all, 0, tokens(1'000), urgent));
         all.tell_stock();
         all.run_for(milliseconds(100));
     }
     CHECK_EQUAL(8, urgent);
     int others = 0;
     for (int i = 0; i < 8; ++i)
-        spawn(all.io(), obtain(all, 0, tokens(4'000), others, 5));
+        spawn(all.io(), acquire(all, 0, tokens(4'000), others, 5));
     all.run_for(milliseconds(150));
     CHECK(others < 8);
     CHECK(all.held() == tokens(40'000));
     int more = 0;
-    spawn(all.io(), obtain(all, 0, tokens(1'000), more));
+    spawn(all.io(), acquire(all, 0, tokens(1'000), more));
     all.run_for(milliseconds(100));
     CHECK_EQUAL(1, more);
 }
@@ -282,7 +282,7 @@
 // Story: the platform is away and a team has tokens left there. Each request
 // that waited for them asked the record anew as soon as it was told that
 // nothing came; being told woke all that wait. The node did nothing else.
-TEST(token_desk, requests_that_wait_in_an_outage_do_not_wake_each_other)
+TEST(token_allocator, requests_that_wait_in_an_outage_do_not_wake_each_other)
 {
     fleet all(5, 0);
     all.desk(0).start();
@@ -290,7 +290,7 @@
     const std::size_t before = all.handlers();
     int got = 0;
     for (int i = 0; i < 10; ++i)
-        spawn(all.io(), obtain(all, 0, tokens(1'000), got));
+        spawn(all.io(), acquire(all, 0, tokens(1'000), got));
     all.run_for(milliseconds(200));
     CHECK_EQUAL(0, got);
     // A few questions each, and the loop's own upkeep.
@@ -300,7 +300,7 @@
 // Story: all processes are killed and start again. One that knows no
 // configuration yet is asked for tokens by another, as one of the team's
 // stockists, and ended with a fault.
-TEST(token_desk, a_node_without_a_configuration_says_that_it_has_nothing)
+TEST(token_allocator, a_node_without_a_configuration_says_that_it_has_nothing)
 {
     telemetry::set_log_sink([](auto&&...) {});
     asio::io_context io{1};
@@ -308,17 +308,17 @@
     node_tables tables(io, time, settings_of(0), 1);
     platform_client client(tables);
     std::vector<mesh::datagram> sent;
-    token_desk desk(tables, client,
-                    [&](const std::string&, const mesh::datagram& it) {
-                        sent.push_back(it);
-                    });
+    token_allocator desk(tables, client,
+                         [&](const std::string&, const mesh::datagram& it) {
+                             sent.push_back(it);
+                         });
     desk.start();
-    desk.on_ask({.life = mesh::node_life(7),
-                 .number = mesh::transfer_number(1),
-                 .team = team,
-                 .wanted = tokens(500),
-                 .urgency = 3},
-                address_of(1));
+    desk.on_token_request({.life = mesh::node_life(7),
+                           .number = mesh::transfer_number(1),
+                           .team = team,
+                           .wanted = tokens(500),
+                           .urgency = 3},
+                          address_of(1));
     io.run_for(milliseconds(300));
     CHECK_EQUAL(1, sent.size());
     CHECK(sent[0].give && sent[0].give->amount == tokens(0));
