--- a/include/fennelladder/edge/allotment_writer.hpp
+++ b/include/fennelladder/edge/allotment_writer.hpp
@@ -1,20 +1,20 @@
-// Takes tokens out of the platform's record of allotments.
+// Withdraws tokens from the allotment record that the platform stores.
 //
 //     allotment_writer writer(tables, client, [&](const token_amounts& got) {
-//         ... credit the purse ...
+//         ... credit the token balance ...
 //     });
-//     if (co_await writer.refresh(most_age))
-//         co_await writer.withdraw(wishes);
+//     if (co_await writer.refresh(max_age))
+//         co_await writer.withdraw(requested);
 //
-// A write whose reply was lost is in doubt: nothing else is written until it
-// is known whether it took effect. refresh() finds out (see
+// A write whose reply was lost is in doubt. No other write is sent until
+// refresh() has found out whether it took effect (see
 // prepaid/allotment_record.hpp).
 //
-// A record that can't be read is left as it is: nothing is taken out of it or
-// written over it, the last good one stays known, and the purse lives on what
-// it has. It is read again by each refresh() that follows.
+// A record that cannot be decoded is neither withdrawn from nor overwritten.
+// The last valid record stays cached, the node spends its current balance, and
+// each later refresh() reads the record again.
 //
-// Not thread safe; one call at a time.
+// Not thread safe; only one call may be in progress at a time.
 
 #ifndef FENNELLADDER_EDGE_ALLOTMENT_WRITER_HPP
 #define FENNELLADDER_EDGE_ALLOTMENT_WRITER_HPP
@@ -32,37 +32,39 @@
 class allotment_writer
 {
 public:
-    /// Gets what was taken out, once for each write that took effect.
+    /// Receives the granted amounts, once for each write that took effect.
     using receiver = std::function<void(const prepaid::token_amounts&)>;
 
     allotment_writer(node_tables& tables, platform_client& client,
                      receiver credit);
 
-    /// Settles what is in doubt; reads the record if it isn't known or was
-    /// read longer than `most_age` ago. False when a call failed, or when
-    /// something is still in doubt.
-    awaitable<bool> refresh(duration most_age);
+    /// Resolves a write that is in doubt; otherwise reads the record if it is
+    /// unknown or was read more than `max_age` ago. Returns false if a call
+    /// failed or a write is still in doubt.
+    awaitable<bool> refresh(duration max_age);
 
-    /// Takes out as much of `wishes` as is left. False when it isn't known
-    /// to have taken effect. Precondition: refresh() was true.
-    awaitable<bool> withdraw(const prepaid::token_amounts& wishes);
+    /// Withdraws as much of `requested` as remains. Returns false if the write
+    /// is not known to have taken effect. Precondition: refresh() returned
+    /// true.
+    awaitable<bool> withdraw(const prepaid::token_amounts& requested);
 
-    /// The record as last read or written; unset until then.
+    /// The record as last read or written; unset before the first success.
     const std::optional<prepaid::allotment_record>& record() const
     {
         return record_;
     }
 
-    bool in_doubt() const { return doubt_.has_value(); }
+    /// Whether the outcome of a write is unknown.
+    bool in_doubt() const { return in_doubt_.has_value(); }
 
-    /// What each team has prepaid by the configuration in force.
-    /// Precondition: there is one.
+    /// Prepaid tokens of each team in the active configuration.
+    /// Precondition: a configuration is active.
     prepaid::token_amounts prepaid_totals() const;
 
 private:
-    /// A write without a reply: either its mark turns up in the record, or
-    /// another revision without it does.
-    struct doubtful_write
+    /// A write without a reply. It took effect if its mark appears in the
+    /// record, and never will once another revision without the mark is read.
+    struct in_doubt_write
     {
         prepaid::allotment_draft draft;
         prepaid::write_mark mark;
@@ -71,22 +73,22 @@
 
     awaitable<bool> read_record();
     awaitable<bool> create_record();
-    awaitable<bool> write(const doubtful_write& wanted);
-    awaitable<bool> resolve_doubt();
+    awaitable<bool> write(const in_doubt_write& pending);
+    awaitable<bool> resolve_in_doubt();
     prepaid::token_amounts
-    left_after(const prepaid::token_amounts& granted) const;
-    awaitable<void> pause_after_conflict(int conflicts);
+    remaining_after(const prepaid::token_amounts& granted) const;
+    awaitable<void> back_off_after_conflict(int conflicts);
     void credit(const prepaid::token_amounts& granted);
-    bool adopt(const adapter::stored_object& object);
-    void note_unreadable(catalog::revision changed, const error& cause);
+    bool accept_record(const adapter::stored_object& object);
+    void report_unreadable(catalog::revision changed, const error& cause);
 
     node_tables& tables_;
     platform_client& client_;
     receiver credit_;
     std::optional<prepaid::allotment_record> record_;
     catalog::revision record_revision_;
-    instant record_read_;
-    std::optional<doubtful_write> doubt_;
+    instant record_read_at_;
+    std::optional<in_doubt_write> in_doubt_;
     std::uint64_t writes_ = 0;
 };
 
--- a/include/fennelladder/edge/attempt.hpp
+++ b/include/fennelladder/edge/attempt.hpp
@@ -1,16 +1,16 @@
-// One attempt of a request at one target: connect, send, read the answer and
-// pass it on.
+// One attempt to serve a request at one target: connect, send the request, read
+// the response and relay it to the caller.
 //
 //     attempt_outcome got = co_await run_attempt(input);
 //
-// What is passed on while the attempt lasts: a stream's whole events, each as
-// it comes, and the body of an answer that is too large to hold. All other
-// answers are held until they are complete, so that a broken one can be asked
-// for again elsewhere.
+// Event streams are relayed event by event as they arrive, and a body that is
+// too large to buffer is relayed while it is read. All other responses are
+// buffered until they are complete, so that the request can be retried at
+// another target if the response breaks off.
 //
-// An answer counts only if it names this request. One that names another (a
-// late second answer to the request before, on a kept connection) is read to
-// its end and thrown away.
+// A response is accepted only if it names this request. One that names another
+// request (such as a late duplicate response to the previous request on a
+// reused connection) is read to its end and discarded.
 
 #ifndef FENNELLADDER_EDGE_ATTEMPT_HPP
 #define FENNELLADDER_EDGE_ATTEMPT_HPP
@@ -27,17 +27,17 @@
 
 namespace fennelladder::edge {
 
-/// A caller's request, read to its end.
+/// A caller's request, fully read.
 struct caller_request
 {
     std::string method;
-    std::string path; ///< With its query, as the caller wrote it.
+    std::string path; ///< Including the query, as the caller sent it.
     adapter::header_fields fields;
     std::string body;
     bool has_body = false;
     adapter::request_facts facts;
-    instant arrived;                  ///< When its head was read.
-    bool first_on_connection = false; ///< It is the first on its connection.
+    instant arrived; ///< When the head had been read.
+    bool first_on_connection = false;
 };
 
 struct attempt_input
@@ -50,9 +50,10 @@
     adapter::passing_on forwarding;
     response_writer& reply;
     event_splitter& events;
-    /// Rest that a kept connection may have had at most.
+    /// Longest time for which a reused connection may have been idle.
     duration max_idle_time{0};
-    /// Silence after which the attempt is given up; unset: none.
+    /// Time without a byte after which the attempt is abandoned, before the
+    /// response and between its parts; unset: no limit.
     std::optional<duration> first_byte_timeout;
     std::optional<duration> progress_timeout;
 };
@@ -64,20 +65,21 @@
     std::optional<instant> sent_at; ///< When bytes of the request went out.
     bool first_byte = false;        ///< An answer to it began.
     bool reused_connection = false; ///< Not dialled for this attempt.
-    /// A kept connection ended before any answer: most likely before the
-    /// request came.
+    /// A reused connection ended before any response, most likely before the
+    /// request reached the target.
     bool stale_connection = false;
-    /// The target was told that the caller is gone, and ended the connection
-    /// without having sent anything: it made no token.
+    /// The caller left, and the target closed the connection without sending
+    /// anything: it generated no token.
     bool produced_nothing = false;
-    /// A part of an answer that is no stream was passed on: nothing else can
-    /// follow it.
+    /// Part of a response that is no event stream was relayed, so no other
+    /// attempt can continue the response.
     bool partial_body_sent = false;
-    response_head head; ///< Of a failure that may be passed on.
-    std::string body;
+    response_head head; ///< Of a failure response that may be relayed.
+    std::string body;   ///< Body that belongs to `head`.
     std::string detail; ///< For the log.
 };
 
+/// Runs one attempt. `in` must stay valid until it is over.
 awaitable<attempt_outcome> run_attempt(attempt_input& in);
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/response_writer.hpp
+++ b/include/fennelladder/edge/response_writer.hpp
@@ -1,12 +1,12 @@
-// Writes answers to one caller's connection.
+// Writes HTTP responses to one caller's connection.
 //
 //     co_await reply.send_local({503, id, retry_after, "no target"});
 //     co_await reply.send_complete(head, body);
 //     co_await reply.begin(head);  reply.send_chunk(...);  reply.finish();
 //
-// Every function is false when the caller is gone. An answer that was begun
-// and not finished must not look complete: whoever gives it up closes the
-// connection.
+// Every function that writes returns false once the caller has disconnected. A
+// response that was begun but not finished must not look complete: code that
+// abandons one closes the connection.
 //
 // Not thread safe.
 
@@ -22,76 +22,84 @@
 
 namespace fennelladder::edge {
 
-/// Head of a target's answer.
+/// Status line and headers of a target's response.
 struct response_head
 {
     unsigned status = 0;
     std::string reason;
-    std::string headers; ///< Lines for the caller, see encode_answer_headers.
-    /// Content-Length as the target wrote it; empty: not stated. Counts only
-    /// where no body is sent, since else the body's size is known.
+    /// Header lines for the caller, see adapter::encode_answer_headers().
+    std::string headers;
+    /// Content-Length as the target sent it, or empty. Used only if no body is
+    /// sent; otherwise the body's size determines it.
     std::string content_length;
 };
 
-/// A refused caller is asked to come back after this: long enough for a rest
-/// of a target or a transfer of tokens, short against any deadline.
+/// Retry-After for refused callers: long enough for a target's backoff or a
+/// token transfer, short compared with any deadline.
 inline constexpr duration default_retry_after = milliseconds(300);
 
-/// An answer of the node's own.
+/// A response that the node itself generates.
 struct local_response
 {
     unsigned status = 0;
-    std::string request;                 ///< Its id.
-    std::optional<duration> retry_after; ///< When to come back.
-    std::string message;                 ///< One sentence.
+    std::string request;                 ///< Request id.
+    std::optional<duration> retry_after; ///< Unset: no Retry-After.
+    std::string message;                 ///< Error text of the JSON body.
 };
 
+/// Writes the responses of one connection, one after the other. Not thread
+/// safe.
 class response_writer
 {
 public:
+    /// `socket` must outlive the writer.
     explicit response_writer(tcp::socket& socket);
 
+    /// Sends a response of the node itself, with a JSON body.
     awaitable<bool> send_local(const local_response& answer);
+    /// Sends a whole response with a Content-Length.
     awaitable<bool> send_complete(const response_head& head,
                                   const std::string& body);
 
+    /// Sends the head of a chunked response. send_chunk() and finish() follow.
     awaitable<bool> begin(const response_head& head);
     awaitable<bool> send_chunk(const std::string& bytes);
     awaitable<bool> finish();
 
-    /// The request's method is HEAD: its answer is a head alone, which states
-    /// the length of the body that another method would give. Holds until
-    /// reset(). Precondition: nothing was sent for this request, and begin()
-    /// isn't used for it.
-    void omit_body() { no_body_ = true; }
+    /// Sends no body until reset(), for a HEAD request: its response is a head
+    /// that states the length of the body that GET would return.
+    /// Precondition: nothing has been sent for this request, and begin() is not
+    /// used for it.
+    void omit_body() { omits_body_ = true; }
 
-    /// Says in every later head that the connection ends with the answer.
-    void close_when_done() { closes_ = true; }
-    bool closes_connection() const { return closes_; }
+    /// Adds `Connection: close` to every later response head.
+    void close_when_done() { closes_connection_ = true; }
+    bool closes_connection() const { return closes_connection_; }
 
     bool begun() const { return begun_; }
     bool finished() const { return finished_; }
     bool is_writing() const { return writing_; }
 
-    /// Why the last write failed; no error if it didn't.
-    const net_error& write_error() const { return failure_; }
+    /// Error of the last write; no error if it succeeded.
+    const net_error& write_error() const { return write_error_; }
 
-    /// For the next request of the connection.
+    /// Clears the state of the last response before the connection's next
+    /// request.
     void reset();
 
 private:
     awaitable<bool> write(std::string bytes);
-    std::string head_text(const response_head& head) const;
+    std::string encode_head(const response_head& head) const;
     std::string length_line(const response_head& head,
                             const std::string& body) const;
 
     tcp::socket& socket_;
-    bool closes_ = false;
-    bool no_body_ = false;
+    bool closes_connection_ = false;
+    bool omits_body_ = false;
     bool begun_ = false;
     bool finished_ = false;
     bool writing_ = false;
-    net_error failure_;
+    net_error write_error_;
 };
 
 } // namespace fennelladder::edge
--- a/libs/edge/allotment_writer.cpp
+++ b/libs/edge/allotment_writer.cpp
@@ -1,5 +1,5 @@
-// Tokens are credited only after a write that deducts them is proved to have
-// taken effect: by its own reply, or by its mark in a record read later.
+// Tokens are credited only once the write that deducts them is proven to have
+// taken effect, by its own reply or by its mark in a record read later.
 
 #include "fennelladder/edge/allotment_writer.hpp"
 
@@ -17,9 +17,9 @@
 
 constexpr const char* record_name = "main";
 
-constexpr duration call_limit = milliseconds(800);
+constexpr duration call_timeout = milliseconds(800);
 
-std::string amounts_text(const prepaid::token_amounts& amounts)
+std::string format_amounts(const prepaid::token_amounts& amounts)
 {
     std::string out;
     for (const auto& [team, amount] : amounts) {
@@ -37,9 +37,9 @@
     : tables_(tables), client_(client), credit_(std::move(credit))
 {}
 
-/// What the record still has of the teams that got some.
+/// Tokens that remain in the record for each team in `granted`.
 prepaid::token_amounts
-allotment_writer::left_after(const prepaid::token_amounts& granted) const
+allotment_writer::remaining_after(const prepaid::token_amounts& granted) const
 {
     const auto totals = prepaid_totals();
     prepaid::token_amounts out;
@@ -51,36 +51,38 @@
 void allotment_writer::credit(const prepaid::token_amounts& granted)
 {
     log_event(event::tokens_allotted,
-              {{"amounts", amounts_text(granted)},
-               {"left", amounts_text(left_after(granted))},
+              {{"amounts", format_amounts(granted)},
+               {"left", format_amounts(remaining_after(granted))},
                {"revision", std::to_string(record_revision_.value())}});
     credit_(granted);
 }
 
-void allotment_writer::note_unreadable(catalog::revision changed,
-                                       const error& cause)
+void allotment_writer::report_unreadable(catalog::revision changed,
+                                         const error& cause)
 {
     tables_.unreadable.note(unreadable_kind::allotment, record_name, changed,
                             cause);
 }
 
-/// Amounts only grow. A record with less than was known, or none where there
-/// was one, has been written or removed by something else: taken for true, it
-/// would hand out a second time what teams have spent.
-bool allotment_writer::adopt(const adapter::stored_object& object)
+/// Caches a record that was read. Allotted amounts only grow: a record that
+/// shows less than before, or that has disappeared, was changed by another
+/// program. Accepting it would allot tokens again that teams have already
+/// spent.
+bool allotment_writer::accept_record(const adapter::stored_object& object)
 {
     auto read = object.content.and_then(prepaid::allotment_from_json);
     if (read && object.changed == catalog::revision())
-        read = fail(error_code::corrupt, "no revision");
+        read = fail(error_code::corrupt, "allotment record has no revision");
     if (read && record_ && !prepaid::follows(*record_, *read))
-        read = fail(error_code::corrupt, "less allotted than before");
+        read = fail(error_code::corrupt,
+                    "allotment record shows less allotted than before");
     if (!read) {
-        note_unreadable(object.changed, read.error());
+        report_unreadable(object.changed, read.error());
         return false;
     }
     record_ = std::move(*read);
     record_revision_ = object.changed;
-    record_read_ = tables_.now();
+    record_read_at_ = tables_.now();
     return true;
 }
 
@@ -91,14 +93,14 @@
                                prepaid::to_json(prepaid::allotment_record()));
     const auto got = co_await client_.call(
         call_name::write_allotments, http::verb::post,
-        adapter::create_target(object_kind::prepaid), body, call_limit);
-    // Another node may have been first; both ways it's there to be read.
+        adapter::create_target(object_kind::prepaid), body, call_timeout);
+    // On a conflict another node has created the record; it can be read.
     const bool there = got.outcome == call_outcome::done ||
                        got.outcome == call_outcome::conflict;
     if (!there)
         co_return false;
     const auto object = adapter::decode_object(got.body);
-    const bool known = object.has_value() && adopt(*object);
+    const bool known = object.has_value() && accept_record(*object);
     co_return known;
 }
 
@@ -108,11 +110,11 @@
         call_name::read_allotments, http::verb::get,
         adapter::object_target(object_kind::prepaid, record_name,
                                adapter::freshness::newest),
-        "", call_limit);
+        "", call_timeout);
     tables_.note_contact(got.reached(), "allotment record");
     if (got.outcome == call_outcome::missing && record_) {
-        note_unreadable(catalog::revision(),
-                        {error_code::not_found, "the record is gone"});
+        report_unreadable(catalog::revision(),
+                          {error_code::not_found, "the record is gone"});
         co_return false;
     }
     if (got.outcome == call_outcome::missing) {
@@ -123,98 +125,102 @@
         co_return false;
     const auto object = adapter::decode_object(got.body);
     if (!object) {
-        note_unreadable(catalog::revision(), object.error());
+        report_unreadable(catalog::revision(), object.error());
         co_return false;
     }
-    co_return adopt(*object);
+    co_return accept_record(*object);
 }
 
-/// Writes; what the reply leaves open is in doubt_ afterwards.
-awaitable<bool> allotment_writer::write(const doubtful_write& wanted)
+/// Sends the write. If the reply leaves the outcome open, the write is kept in
+/// in_doubt_.
+awaitable<bool> allotment_writer::write(const in_doubt_write& pending)
 {
     const auto body = adapter::encode_object(
-        record_name, wanted.expected, prepaid::to_json(wanted.draft.record));
+        record_name, pending.expected, prepaid::to_json(pending.draft.record));
     const auto got = co_await client_.call(
         call_name::write_allotments, http::verb::put,
         adapter::object_target(object_kind::prepaid, record_name,
                                adapter::freshness::newest),
-        body, call_limit);
+        body, call_timeout);
     tables_.note_contact(got.reached(), "allotment record");
-    if (got.outcome == call_outcome::turned_away && !doubt_)
+    if (got.outcome == call_outcome::turned_away && !in_doubt_)
         co_return false;
     if (got.outcome != call_outcome::done &&
         got.outcome != call_outcome::conflict) {
-        if (!doubt_)
-            log_event(event::allotment_in_doubt, {{"mark", wanted.mark}});
-        doubt_ = wanted;
+        if (!in_doubt_)
+            log_event(event::allotment_in_doubt, {{"mark", pending.mark}});
+        in_doubt_ = pending;
         co_return false;
     }
     const auto object = adapter::decode_object(got.body);
-    if (!object || !adopt(*object)) {
-        doubt_ = wanted;
+    if (!object || !accept_record(*object)) {
+        in_doubt_ = pending;
         co_return false;
     }
     const bool written =
-        prepaid::written_by(*record_, tables_.settings.host, wanted.mark);
-    const auto granted = wanted.draft.granted;
-    doubt_.reset();
+        prepaid::written_by(*record_, tables_.settings.host, pending.mark);
+    const auto granted = pending.draft.granted;
+    in_doubt_.reset();
     if (written)
         credit(granted);
     co_return written;
 }
 
-/// True when nothing is in doubt any more.
-awaitable<bool> allotment_writer::resolve_doubt()
+/// Returns true once no write is in doubt.
+awaitable<bool> allotment_writer::resolve_in_doubt()
 {
     const bool read = co_await read_record();
-    if (!read || !doubt_)
+    if (!read || !in_doubt_)
         co_return false;
-    if (prepaid::written_by(*record_, tables_.settings.host, doubt_->mark)) {
-        const auto granted = doubt_->draft.granted;
-        doubt_.reset();
+    if (prepaid::written_by(*record_, tables_.settings.host, in_doubt_->mark)) {
+        const auto granted = in_doubt_->draft.granted;
+        in_doubt_.reset();
         credit(granted);
         co_return true;
     }
-    if (record_revision_ != doubt_->expected) {
-        // Its condition can't hold any more: it never takes effect.
-        doubt_.reset();
+    if (record_revision_ != in_doubt_->expected) {
+        // The write's revision condition can no longer hold, so it will never
+        // take effect.
+        in_doubt_.reset();
         co_return true;
     }
-    // It may still take effect; the same write again settles it either way.
-    const doubtful_write again = *doubt_;
+    // The write may still take effect. Repeating it is safe, since at most one
+    // of the two can, and its reply shows the outcome.
+    const in_doubt_write again = *in_doubt_;
     (void)co_await write(again);
-    co_return !doubt_;
+    co_return !in_doubt_;
 }
 
-awaitable<bool> allotment_writer::withdraw(const prepaid::token_amounts& wishes)
+awaitable<bool>
+allotment_writer::withdraw(const prepaid::token_amounts& requested)
 {
-    constexpr int most_conflicts = 5;
-    // Without a revision the write would have no condition.
+    constexpr int max_write_attempts = 5;
+    // Without a revision the write would be unconditional.
     assert(record_revision_ != catalog::revision());
-    for (int i = 0; i < most_conflicts; ++i) {
-        doubtful_write wanted;
-        wanted.mark = std::to_string(tables_.life.value()) + "." +
-                      std::to_string(++writes_);
-        wanted.draft =
-            prepaid::draft_allotment(*record_, prepaid_totals(), wishes,
-                                     tables_.settings.host, wanted.mark);
-        wanted.expected = record_revision_;
-        if (wanted.draft.granted.empty())
+    for (int i = 0; i < max_write_attempts; ++i) {
+        in_doubt_write pending;
+        pending.mark = std::to_string(tables_.life.value()) + "." +
+                       std::to_string(++writes_);
+        pending.draft =
+            prepaid::draft_allotment(*record_, prepaid_totals(), requested,
+                                     tables_.settings.host, pending.mark);
+        pending.expected = record_revision_;
+        if (pending.draft.granted.empty())
             co_return true;
-        const bool written = co_await write(wanted);
+        const bool written = co_await write(pending);
         if (written)
             co_return true;
-        if (doubt_)
+        if (in_doubt_)
             co_return false;
-        if (i + 1 < most_conflicts)
-            co_await pause_after_conflict(i);
+        if (i + 1 < max_write_attempts)
+            co_await back_off_after_conflict(i);
     }
     co_return false;
 }
 
-/// Nodes that both take themselves for the writer wrote at the same moment, and
-/// would again.
-awaitable<void> allotment_writer::pause_after_conflict(int conflicts)
+/// Waits a random time, which doubles at most with each conflict. Two nodes
+/// that both act as the writer would otherwise collide again at the next write.
+awaitable<void> allotment_writer::back_off_after_conflict(int conflicts)
 {
     const duration most =
         tables_.options.stock.conflict_pause * (1 << conflicts);
@@ -223,12 +229,12 @@
                       from_seconds(to_seconds(most) * tables_.random.unit()));
 }
 
-awaitable<bool> allotment_writer::refresh(duration most_age)
+awaitable<bool> allotment_writer::refresh(duration max_age)
 {
     bool fine = true;
-    if (doubt_)
-        fine = co_await resolve_doubt();
-    else if (!record_ || tables_.now() - record_read_ > most_age)
+    if (in_doubt_)
+        fine = co_await resolve_in_doubt();
+    else if (!record_ || tables_.now() - record_read_at_ > max_age)
         fine = co_await read_record();
     co_return fine;
 }
--- a/libs/edge/response_writer.cpp
+++ b/libs/edge/response_writer.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// One chunk of a chunked body.
+/// Encodes one chunk of a chunked body.
 std::string chunk(const std::string& bytes)
 {
     char size[24];
@@ -25,25 +25,26 @@
 
 void response_writer::reset()
 {
-    no_body_ = false;
+    omits_body_ = false;
     begun_ = false;
     finished_ = false;
-    failure_ = {};
+    write_error_ = {};
 }
 
 awaitable<bool> response_writer::write(std::string bytes)
 {
     writing_ = true;
-    co_await asio::async_write(socket_, asio::buffer(bytes), into(failure_));
+    co_await asio::async_write(socket_, asio::buffer(bytes),
+                               into(write_error_));
     writing_ = false;
-    co_return !failure_;
+    co_return !write_error_;
 }
 
-std::string response_writer::head_text(const response_head& head) const
+std::string response_writer::encode_head(const response_head& head) const
 {
     std::string out = "HTTP/1.1 " + std::to_string(head.status) + " ";
     out += head.reason + "\r\n" + head.headers;
-    if (closes_)
+    if (closes_connection_)
         out += "Connection: close\r\n";
     return out;
 }
@@ -51,11 +52,11 @@
 std::string response_writer::length_line(const response_head& head,
                                          const std::string& body) const
 {
-    // These statuses have no body and no length.
+    // Responses with these statuses have neither a body nor a Content-Length.
     if (head.status == 204 || head.status == 304)
         return {};
     const std::string length =
-        no_body_ ? head.content_length : std::to_string(body.size());
+        omits_body_ ? head.content_length : std::to_string(body.size());
     return length.empty() ? std::string()
                           : "Content-Length: " + length + "\r\n";
 }
@@ -80,9 +81,10 @@
                                                const std::string& body)
 {
     begun_ = true;
-    std::string out = head_text(head) + length_line(head, body) + "\r\n";
-    // A body behind an answer to HEAD would be read as the next answer.
-    if (!no_body_)
+    std::string out = encode_head(head) + length_line(head, body) + "\r\n";
+    // The caller would parse a body after a response to HEAD as the next
+    // response.
+    if (!omits_body_)
         out += body;
     const bool sent = co_await write(std::move(out));
     finished_ = sent;
@@ -92,14 +94,14 @@
 awaitable<bool> response_writer::begin(const response_head& head)
 {
     begun_ = true;
-    std::string out = head_text(head) + "Transfer-Encoding: chunked\r\n\r\n";
+    std::string out = encode_head(head) + "Transfer-Encoding: chunked\r\n\r\n";
     const bool sent = co_await write(std::move(out));
     co_return sent;
 }
 
 awaitable<bool> response_writer::send_chunk(const std::string& bytes)
 {
-    // An empty chunk would end the body.
+    // An empty chunk terminates a chunked body.
     if (bytes.empty())
         co_return true;
     std::string out = chunk(bytes);
