--- a/include/fennelladder/edge/attempt.hpp
+++ b/include/fennelladder/edge/attempt.hpp
@@ -62,9 +62,9 @@
 {
     dispatch::attempt_end ended = dispatch::attempt_end::broken;
     dispatch::target_evidence evidence = dispatch::target_evidence::nothing;
-    std::optional<instant> sent_at; ///< When bytes of the request went out.
-    bool first_byte = false;        ///< An answer to it began.
-    bool reused_connection = false; ///< Not dialled for this attempt.
+    std::optional<instant> sent_at; ///< When sending the request began.
+    bool first_byte = false;        ///< A response to it began.
+    bool reused_connection = false; ///< Taken from the idle ones.
     /// A reused connection ended before any response, most likely before the
     /// request reached the target.
     bool stale_connection = false;
--- a/include/fennelladder/edge/io.hpp
+++ b/include/fennelladder/edge/io.hpp
@@ -1,8 +1,9 @@
-// Short names for Boost.Asio and Beast, shared by the files of this library.
+// Short names for Boost.Asio and Beast, and socket helpers, shared by the files
+// of this library.
 //
-// One io_context carries a node; all its coroutines run on it, on one thread,
-// so the tables they share need no locks. The hosts this is built for give a
-// process a part of one core.
+// A node runs on one io_context with one thread, so the tables that its
+// coroutines share need no locks. The hosts this is built for give a process a
+// fraction of one core.
 
 #ifndef FENNELLADDER_EDGE_IO_HPP
 #define FENNELLADDER_EDGE_IO_HPP
@@ -32,7 +33,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-/// Errors of the network; failures of the product are fennelladder::error.
+/// Network errors. Other failures are reported as fennelladder::error.
 using net_error = boost::system::error_code;
 using tcp = asio::ip::tcp;
 using udp = asio::ip::udp;
@@ -40,37 +41,39 @@
 template <class T>
 using awaitable = asio::awaitable<T>;
 
-/// Completion token: co_await, with the failure in `ec` instead of thrown.
+/// Completion token for co_await that stores a failure in `ec` instead of
+/// throwing it.
 inline auto into(net_error& ec)
 {
     return asio::redirect_error(asio::use_awaitable, ec);
 }
 
-/// "10.1.0.40:8227"; nothing if it isn't an IP address with a port.
+/// Parses an address such as "10.1.0.40:8227". Returns nothing if it is not an
+/// IP address with a port.
 std::optional<tcp::endpoint> parse_endpoint(const std::string& address);
 
-/// Whether a read that doesn't wait failed only since nothing is there, or it
-/// was interrupted: it says nothing of the other side.
+/// Whether a non-blocking read failed only because no data is available or it
+/// was interrupted by a signal. Such an error says nothing about the peer.
 bool is_transient(const net_error& ec);
 
-/// How a connection ended, for the log: "closed" by the other side, "reset",
-/// or the error; empty if there was none.
+/// How a connection ended, for the log: "closed" (by the peer), "reset" or the
+/// error message; empty if there was no error.
 std::string disconnect_reason(const net_error& ec);
 
-/// Replaces the port of an IP:port.
+/// Returns `address`, an IP:port, with its port replaced.
 std::string with_port(const std::string& address, std::uint16_t port);
 
-/// Sets what every connection needs: no delay, and an end to connections
-/// that went silent. A peer that vanished without a word, or a connection
-/// that something between the two ends has forgotten, shows neither an end
-/// nor an error; the kernel's probes and the limit on unconfirmed bytes turn
-/// it into one after about `limit`.
+/// Sets TCP_NODELAY, keepalive probes and the TCP user timeout. A peer that
+/// vanished, or a connection whose state was lost between the two ends (as in a
+/// NAT or firewall), shows neither an end nor an error; the kernel's probes and
+/// the limit on unacknowledged bytes turn it into an error after about `limit`.
 void enable_keepalive(tcp::socket& socket, duration limit);
 
-/// Waits; returns at once when the timer is cancelled.
+/// Waits for `length`. Returns early if the timer is cancelled.
 awaitable<void> sleep_on(asio::steady_timer& timer, duration length);
 
-/// The socket of a connection, keeping the whole connection alive.
+/// A pointer to the socket of a connection that keeps the whole connection
+/// alive.
 template <class Connection>
 std::shared_ptr<tcp::socket> socket_of(std::shared_ptr<Connection> whole)
 {
@@ -78,8 +81,9 @@
     return {std::move(whole), part};
 }
 
-/// Starts a coroutine of the node. An exception that leaves it ends the
-/// process, since the state it worked on can't be trusted.
+/// Starts a coroutine on the node's io_context. An exception that escapes from
+/// it terminates the process, since the state it was changing may be
+/// inconsistent.
 void spawn(asio::io_context& io, awaitable<void> work);
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/peer_stream.hpp
+++ b/include/fennelladder/edge/peer_stream.hpp
@@ -1,16 +1,17 @@
-// Messages over a connection between two nodes: four bytes of length (network
-// order), then the message.
+// Length-prefixed messages over a TCP connection between two nodes: four bytes
+// of length in network byte order, then the message.
 //
 //     peer_stream stream(io);
 //     const bool connected = co_await stream.connect(endpoint, limit);
 //     const bool sent = co_await stream.write(framed(question));
-//     const bool read = co_await stream.read(answer, largest);
+//     const bool read = co_await stream.read(answer, max_size);
 //
-// A connection lives as long as bytes come or go, and at most
-// `longest_transfer`. Failure it guards against: a limit on the whole of an
-// exchange ends each transfer that is slow but under way, and what it had
-// carried is sent again. One that has fallen silent ends soon, and one that a
-// peer feeds a byte now and then ends as well.
+// A connection may last as long as it makes progress, but no longer than
+// mesh::longest_transfer. Failure it guards against: one timeout over a whole
+// request and reply ends transfers that are slow but making progress, and the
+// bytes already carried are sent again. The idle timeout ends a stalled
+// connection soon, and the total limit ends one whose peer sends a byte now and
+// then.
 //
 // Not thread safe.
 
@@ -26,47 +27,49 @@
 
 namespace fennelladder::edge {
 
-/// The bytes of one message. Precondition: its size fits 32 bits.
+/// Encodes one message with its length. Precondition: its size fits 32 bits.
 std::string framed(std::string_view message);
 
 class peer_stream
 {
 public:
-    /// One that isn't connected yet.
+    /// Creates a stream that is not connected yet.
     explicit peer_stream(asio::io_context& io);
 
-    /// One that was accepted.
+    /// Takes over an accepted connection.
     explicit peer_stream(std::shared_ptr<tcp::socket> socket);
 
     ~peer_stream() { close(); }
     peer_stream(const peer_stream&) = delete;
     peer_stream& operator=(const peer_stream&) = delete;
 
+    /// Connects. Returns false on an error or after `limit`.
     awaitable<bool> connect(tcp::endpoint to, duration limit);
 
-    /// Reads one message; false when the connection ended, fell silent, or
-    /// the peer announced more than `largest` bytes. Takes memory as the bytes
-    /// come, not as they are announced.
-    awaitable<bool> read(std::string& out, std::size_t largest);
+    /// Reads one message. Returns false if the connection ended or became idle,
+    /// or if the peer announced more than `max_size` bytes. Allocates memory as
+    /// bytes arrive, not as they are announced.
+    awaitable<bool> read(std::string& out, std::size_t max_size);
 
-    /// Sends bytes of framed().
+    /// Sends bytes that framed() returned. Returns false if the connection
+    /// ended or made no progress.
     awaitable<bool> write(std::string_view bytes);
 
-    /// Waits until the peer, having all it asked for, closes; false when it
-    /// does not.
+    /// Waits until the peer, which has received all it requested, closes the
+    /// connection. Returns false if it does not.
     awaitable<bool> wait_for_close();
 
     void close();
 
-    /// Of messages, without their lengths.
+    /// Message bytes read so far, without the length prefixes.
     std::size_t bytes_read() const { return bytes_read_; }
 
 private:
-    void limit_silence();
+    void extend_deadline();
 
     std::shared_ptr<tcp::socket> socket_;
-    socket_deadline limit_;
-    socket_deadline::time_point end_;
+    socket_deadline deadline_;
+    socket_deadline::time_point transfer_end_;
     std::size_t bytes_read_ = 0;
 };
 
--- a/include/fennelladder/edge/request_cancellation.hpp
+++ b/include/fennelladder/edge/request_cancellation.hpp
@@ -1,18 +1,18 @@
-// What can end a request's course from outside, while a coroutine works on it.
+// Stops a request from outside while a coroutine works on it.
 //
-//     exchange course(io, now);
-//     course.set_deadline(at);
-//     course.hold(connection);         // closed when the course is stopped
-//     ... read from the connection; on failure look at course.stopped() ...
+//     request_cancellation cancellation(io, now);
+//     cancellation.set_deadline(at);
+//     cancellation.attach(connection);  // closed when the request is stopped
+//     ... read from the connection; on failure check cancellation.stopped() ...
 //
-// The coroutine waits for the target; the caller's leaving, the deadline and
-// a silence that lasted too long come from elsewhere. Each of them notes its
-// reason and closes the connection to the target, which ends the wait and
-// stops the target's work.
+// The coroutine waits for the target, while the caller's disconnect, the
+// deadline and the idle timeout are noticed elsewhere. Each of them records its
+// reason and closes the connection to the target, which ends the wait and stops
+// the target's work.
 //
-// A limit that passed while the node's loop stood still stops nothing that came
-// meanwhile: see expiry_check.hpp. A target that says nothing is given up
-// `expiry_grace` later than its limit.
+// A limit that expired while the event loop was stalled does not stop a request
+// whose data arrived meanwhile: see expiry_check.hpp. An unresponsive target is
+// therefore abandoned `expiry_grace` after its limit.
 //
 // Not thread safe.
 
@@ -30,89 +30,98 @@
 
 namespace fennelladder::edge {
 
+/// Why a request was stopped.
 enum class stop_reason : std::uint8_t
 {
     none,
     caller_left,
     deadline_exceeded,
-    idle_timeout ///< Of one attempt: the next begins with a clean slate.
+    idle_timeout ///< Ends one attempt only; clear_idle_timeout() resets it.
 };
 
+/// Cancellation state of one request over all of its attempts. Must be owned by
+/// a shared_ptr.
 class request_cancellation
     : public std::enable_shared_from_this<request_cancellation>
 {
 public:
     request_cancellation(asio::io_context& io, const clock& time);
 
-    /// Stops the course at `at`, unless it has ended by `expiry_grace` after.
+    /// Stops the request at `at`, unless it has ended `expiry_grace` later.
     void set_deadline(instant at);
 
-    /// Stops the attempt at `at` unless it's moved on before `expiry_grace`
-    /// after.
+    /// Stops the attempt at `at`, unless the deadline is extended within
+    /// `expiry_grace` after it. Unset: no limit.
     void set_idle_deadline(std::optional<instant> at);
 
-    /// The connection to close when the course is stopped. If the caller left
-    /// before the target answered anything, only this node's side is closed
-    /// at first: what the target still sent, or that it sent nothing, tells
-    /// whether the team owes for its prompt, and an answer that comes whole in
-    /// that time is passed on to a caller that only ended its sending side.
-    void attach(connection_ptr held);
+    /// Sets the connection to close when the request is stopped. If the caller
+    /// left before the target sent any response, only the sending side is shut
+    /// down at first: what the target still sends, or that it sends nothing,
+    /// shows whether the team is charged for the prompt, and a response that
+    /// completes in that time is relayed to a caller that only shut down its
+    /// own sending side.
+    void attach(connection_ptr connection);
+
+    /// Closes no connection any more when the request is stopped.
     void detach();
 
-    /// Called when the course is stopped, besides closing what is held: to
-    /// cut the caller off when it doesn't take its answer.
+    /// Called when the request is stopped, after the attached connection was
+    /// closed. Used to disconnect a caller that does not read its response.
     void on_stop(std::function<void(stop_reason)> then);
 
-    /// Asked when an attempt has been silent for as long as it may. `false`
-    /// lets it go on; it is asked again while the silence lasts. Not asked
-    /// without one: the attempt is stopped.
+    /// Called when an attempt reaches its idle deadline. If it returns false,
+    /// the attempt continues, and it is called again while the attempt stays
+    /// idle. Without a callback the attempt is stopped.
     void on_idle_timeout(std::function<bool()> may_stop);
 
-    /// How to find out whether the caller has left: on a busy node its end
-    /// may have arrived without having been read.
-    void on_caller_check(std::function<void()> look);
+    /// Sets the function that check_caller() calls. It tests whether the caller
+    /// has disconnected: on a busy node the end of its connection may have
+    /// arrived without having been read.
+    void on_caller_check(std::function<void()> check);
 
-    /// Looks now. Stops the course if the caller has left.
+    /// Stops the request if the caller has disconnected.
     void check_caller();
 
-    /// Once for good; only a silence may be followed by another reason.
+    /// Stops the request. Later calls have no effect, except that another
+    /// reason may follow an idle timeout.
     void stop(stop_reason why);
     stop_reason stopped() const { return stopped_; }
 
-    /// Stops the course since the caller's connection ended: `how` is what
-    /// reading from it gave.
+    /// Stops the request because the caller's connection ended. `how` is the
+    /// error that reading from it returned.
     void stop_caller_left(net_error how);
 
-    /// What stop_caller_left() was told; no error before it.
-    const net_error& caller_disconnect() const { return caller_end_; }
+    /// The error passed to stop_caller_left(); no error before that.
+    const net_error& caller_disconnect() const { return caller_disconnect_; }
 
-    /// After a silent attempt.
+    /// Clears the idle deadline, and the stop that it caused, between attempts.
     void clear_idle_timeout();
 
-    /// Nothing may stop it any more.
+    /// Ends the request: nothing stops it any more.
     void end();
 
 private:
-    std::optional<instant> next_look() const;
+    std::optional<instant> next_expiry() const;
     void arm();
     void on_timer();
-    void stop_silent();
-    void close_in_order();
+    void stop_idle_attempt();
+    void half_close();
 
     const clock& time_;
     asio::steady_timer timer_;
     std::optional<instant> armed_for_;
     std::optional<instant> deadline_;
-    std::optional<instant> silence_limit_;
-    expiry_check<instant> deadline_look_;
-    expiry_check<instant> silence_look_;
-    connection_ptr held_;
-    std::optional<socket_deadline> farewell_; ///< After close_in_order().
-    std::function<void(stop_reason)> then_;
-    std::function<bool()> may_stop_silent_;
-    std::function<void()> look_;
+    std::optional<instant> idle_deadline_;
+    expiry_check<instant> deadline_check_;
+    expiry_check<instant> idle_check_;
+    connection_ptr connection_;
+    std::optional<socket_deadline>
+        half_close_deadline_; ///< After half_close().
+    std::function<void(stop_reason)> on_stop_;
+    std::function<bool()> may_stop_idle_;
+    std::function<void()> check_caller_;
     stop_reason stopped_ = stop_reason::none;
-    net_error caller_end_;
+    net_error caller_disconnect_;
     bool ended_ = false;
 };
 
--- a/libs/edge/io.cpp
+++ b/libs/edge/io.cpp
@@ -12,7 +12,8 @@
 
 void set_option(tcp::socket& socket, int level, int name, int value)
 {
-    // A kernel without the option leaves the connection as it is.
+    // Best effort: a kernel that lacks the option leaves the connection as it
+    // is.
     (void)::setsockopt(socket.native_handle(), level, name, &value,
                        sizeof value);
 }
--- a/libs/edge/io_test.cpp
+++ b/libs/edge/io_test.cpp
@@ -6,10 +6,10 @@
 
 TEST_GROUP(io){};
 
-// Story: a node looks whether a caller is still there, and the look is
-// interrupted by a signal. The caller counted as gone: its target's work was
-// stopped and its connection closed without an answer.
-TEST(io, only_what_tells_of_the_other_side_is_an_end)
+// A check for the caller's disconnect may be interrupted by a signal. Counted
+// as a disconnect, that stopped the target's work and closed the caller's
+// connection without a response.
+TEST(io, transient_read_errors_are_not_a_disconnect)
 {
     CHECK(is_transient(asio::error::would_block));
     CHECK(is_transient(asio::error::try_again));
@@ -20,7 +20,7 @@
     CHECK(!is_transient(net_error()));
 }
 
-TEST(io, the_log_tells_how_a_connection_ended)
+TEST(io, disconnect_reason_names_the_way_a_connection_ended)
 {
     STRCMP_EQUAL("", disconnect_reason(net_error()).c_str());
     STRCMP_EQUAL("closed", disconnect_reason(asio::error::eof).c_str());
--- a/libs/edge/loop_lag_test.cpp
+++ b/libs/edge/loop_lag_test.cpp
@@ -14,7 +14,7 @@
 
 TEST_GROUP(loop_lag){};
 
-TEST(loop_lag, a_loop_that_runs_has_none)
+TEST(loop_lag, is_zero_while_ticks_are_on_time)
 {
     loop_lag lag(period);
     CHECK(lag.at(begin) == duration(0));
@@ -23,7 +23,7 @@
     CHECK(lag.at(begin + period) == duration(0));
 }
 
-TEST(loop_lag, the_longest_stall_is_told_of_for_a_while)
+TEST(loop_lag, reports_the_longest_stall_for_the_retention_time)
 {
     loop_lag lag(period);
     lag.note_tick(begin);
@@ -36,7 +36,7 @@
     CHECK(lag.at(late + loop_lag::retention) < milliseconds(80));
 }
 
-TEST(loop_lag, a_stall_that_lasts_counts)
+TEST(loop_lag, includes_a_stall_in_progress)
 {
     loop_lag lag(period);
     lag.note_tick(begin);
--- a/libs/edge/peer_stream.cpp
+++ b/libs/edge/peer_stream.cpp
@@ -1,5 +1,5 @@
-// The deadline is set anew before each step, so that a step without a byte ends
-// the connection.
+// The idle deadline is extended before each read or write, so one that moves no
+// byte ends the connection.
 
 #include "fennelladder/edge/peer_stream.hpp"
 
@@ -13,16 +13,16 @@
 
 namespace {
 
-/// Read at a time; also what memory grows by.
-constexpr std::size_t read_step = 65'536;
+/// Bytes read at a time; also the step by which the buffer grows.
+constexpr std::size_t read_chunk_bytes = 65'536;
 
-/// Bytes that the system holds for a connection. What it holds looks sent,
-/// although it may wait for seconds before a full link.
+/// Kernel send buffer of a connection. Bytes in it count as sent, although they
+/// may wait for seconds on a saturated link.
 constexpr int send_buffer_bytes = 32'768;
 
 using head_bytes = std::array<unsigned char, 4>;
 
-std::size_t length_of(const head_bytes& head)
+std::size_t decode_length(const head_bytes& head)
 {
     return std::size_t(head[0]) << 24 | std::size_t(head[1]) << 16 |
            std::size_t(head[2]) << 8 | std::size_t(head[3]);
@@ -46,53 +46,55 @@
 {}
 
 peer_stream::peer_stream(std::shared_ptr<tcp::socket> socket)
-    : socket_(std::move(socket)), limit_(socket_),
-      end_(asio::steady_timer::clock_type::now() + mesh::longest_transfer)
+    : socket_(std::move(socket)), deadline_(socket_),
+      transfer_end_(asio::steady_timer::clock_type::now() +
+                    mesh::longest_transfer)
 {
     net_error ec;
     if (!socket_->is_open())
         return;
-    // A system that refuses leaves its own sizes; progress is then seen late.
+    // Best effort: with a larger default buffer, a lack of progress is noticed
+    // later.
     socket_->set_option(tcp::socket::send_buffer_size(send_buffer_bytes), ec);
     socket_->set_option(tcp::no_delay(true), ec);
 }
 
-void peer_stream::limit_silence()
+void peer_stream::extend_deadline()
 {
     const auto now = asio::steady_timer::clock_type::now();
-    limit_.close_at(std::min(now + mesh::longest_silence, end_));
+    deadline_.close_at(std::min(now + mesh::longest_silence, transfer_end_));
 }
 
 awaitable<bool> peer_stream::connect(tcp::endpoint to, duration limit)
 {
-    limit_.close_after(limit);
+    deadline_.close_after(limit);
     net_error ec;
     co_await socket_->async_connect(to, into(ec));
-    limit_.clear();
+    deadline_.clear();
     co_return !ec && socket_->is_open();
 }
 
-awaitable<bool> peer_stream::read(std::string& out, std::size_t largest)
+awaitable<bool> peer_stream::read(std::string& out, std::size_t max_size)
 {
     out.clear();
     head_bytes head{};
     net_error ec;
-    limit_silence();
+    extend_deadline();
     co_await asio::async_read(*socket_, asio::buffer(head), into(ec));
-    const std::size_t length = length_of(head);
-    if (ec || length > largest)
+    const std::size_t length = decode_length(head);
+    if (ec || length > max_size)
         co_return false;
     while (out.size() < length && !ec) {
         const std::size_t before = out.size();
-        const std::size_t step = std::min(length - before, read_step);
+        const std::size_t step = std::min(length - before, read_chunk_bytes);
         out.resize(before + step);
-        limit_silence();
+        extend_deadline();
         const std::size_t got = co_await socket_->async_read_some(
             asio::buffer(out.data() + before, step), into(ec));
         out.resize(before + got);
         bytes_read_ += got;
     }
-    limit_.clear();
+    deadline_.clear();
     co_return !ec;
 }
 
@@ -100,12 +102,12 @@
 {
     net_error ec;
     while (!bytes.empty() && !ec) {
-        limit_silence();
+        extend_deadline();
         const std::size_t sent = co_await socket_->async_write_some(
             asio::buffer(bytes.data(), bytes.size()), into(ec));
         bytes.remove_prefix(sent);
     }
-    limit_.clear();
+    deadline_.clear();
     co_return !ec;
 }
 
@@ -113,15 +115,15 @@
 {
     char any = 0;
     net_error ec;
-    limit_silence();
+    extend_deadline();
     co_await socket_->async_read_some(asio::buffer(&any, 1), into(ec));
-    limit_.clear();
+    deadline_.clear();
     co_return ec == asio::error::eof;
 }
 
 void peer_stream::close()
 {
-    limit_.clear();
+    deadline_.clear();
     net_error ec;
     socket_->close(ec);
 }
--- a/libs/edge/request_cancellation.cpp
+++ b/libs/edge/request_cancellation.cpp
@@ -1,6 +1,6 @@
-// One timer serves both limits. Moving the silence limit on, as each event of
-// a stream does, costs nothing: the timer looks when it fires whether the
-// limit has moved, and waits for the rest.
+// One timer serves both limits. Extending the idle deadline, as each event of a
+// stream does, does not re-arm it: when it fires, its handler compares with the
+// current limit and waits for the remaining time.
 
 #include "fennelladder/edge/request_cancellation.hpp"
 
@@ -10,15 +10,16 @@
 
 namespace {
 
-/// A target notices within a round trip that its caller is gone, and ends the
-/// connection itself, or answers if it was about to. One that doesn't is cut
-/// off after this long, well before the half second after which its work counts
-/// as wasted.
-constexpr duration farewell = milliseconds(100);
+/// A target notices within a round trip that the sending side was shut down,
+/// and closes the connection, or responds if it was about to. One that does
+/// neither is disconnected after this time, well before the half second after
+/// which its work counts as wasted.
+constexpr duration half_close_timeout = milliseconds(100);
 
-/// A silent attempt that had to go on is asked about again after this long:
-/// retries come back, and targets, within tenths of a second.
-constexpr duration silence_pause = milliseconds(100);
+/// Interval at which an idle attempt that had to continue is reconsidered.
+/// Retry allowance and targets become available again within tenths of a
+/// second.
+constexpr duration idle_retry_interval = milliseconds(100);
 
 } // namespace
 
@@ -35,24 +36,24 @@
 
 void request_cancellation::set_idle_deadline(std::optional<instant> at)
 {
-    silence_limit_ = at;
+    idle_deadline_ = at;
     arm();
 }
 
-std::optional<instant> request_cancellation::next_look() const
+std::optional<instant> request_cancellation::next_expiry() const
 {
     std::optional<instant> next;
     if (deadline_)
-        next = deadline_look_.next_check(*deadline_);
-    if (!silence_limit_)
+        next = deadline_check_.next_check(*deadline_);
+    if (!idle_deadline_)
         return next;
-    const instant at = silence_look_.next_check(*silence_limit_);
+    const instant at = idle_check_.next_check(*idle_deadline_);
     return next ? std::min(*next, at) : at;
 }
 
 void request_cancellation::arm()
 {
-    const std::optional<instant> next = next_look();
+    const std::optional<instant> next = next_expiry();
     if (ended_ || !next || (armed_for_ && *armed_for_ <= *next))
         return;
     armed_for_ = next;
@@ -70,57 +71,58 @@
     if (ended_)
         return;
     const instant now = time_.now();
-    // Each limit has its own second look: an answer's head and body are worked
-    // off in handlers of their own, and after a stall this one may run between
-    // them, with the body there and the answer as good as whole.
-    const bool late = deadline_ && deadline_look_.has_expired(*deadline_, now);
-    const bool silent =
-        silence_limit_ && silence_look_.has_expired(*silence_limit_, now);
-    if (late)
+    // Each limit has its own second check: a response's head and body are read
+    // by separate handlers, and after a stall this one may run between them,
+    // when the body has arrived and the response is about to complete.
+    const bool past_deadline =
+        deadline_ && deadline_check_.has_expired(*deadline_, now);
+    const bool idle =
+        idle_deadline_ && idle_check_.has_expired(*idle_deadline_, now);
+    if (past_deadline)
         stop(stop_reason::deadline_exceeded);
-    else if (!silent)
+    else if (!idle)
         arm();
-    else if (!may_stop_silent_ || may_stop_silent_())
-        stop_silent();
+    else if (!may_stop_idle_ || may_stop_idle_())
+        stop_idle_attempt();
     else
-        set_idle_deadline(now + silence_pause);
+        set_idle_deadline(now + idle_retry_interval);
 }
 
-void request_cancellation::attach(connection_ptr held)
+void request_cancellation::attach(connection_ptr connection)
 {
-    held_ = std::move(held);
+    connection_ = std::move(connection);
 }
 
 void request_cancellation::detach()
 {
-    held_.reset();
+    connection_.reset();
 }
 
 void request_cancellation::on_stop(std::function<void(stop_reason)> then)
 {
-    then_ = std::move(then);
+    on_stop_ = std::move(then);
 }
 
 void request_cancellation::on_idle_timeout(std::function<bool()> may_stop)
 {
-    may_stop_silent_ = std::move(may_stop);
+    may_stop_idle_ = std::move(may_stop);
 }
 
-void request_cancellation::on_caller_check(std::function<void()> look)
+void request_cancellation::on_caller_check(std::function<void()> check)
 {
-    look_ = std::move(look);
+    check_caller_ = std::move(check);
 }
 
 void request_cancellation::check_caller()
 {
-    if (look_ && !ended_ && stopped_ == stop_reason::none)
-        look_();
+    if (check_caller_ && !ended_ && stopped_ == stop_reason::none)
+        check_caller_();
 }
 
-/// A silent attempt is over, its request isn't: the deadline holds on.
-void request_cancellation::stop_silent()
+/// Ends the attempt, not the request, so the deadline stays armed.
+void request_cancellation::stop_idle_attempt()
 {
-    silence_limit_.reset();
+    idle_deadline_.reset();
     stop(stop_reason::idle_timeout);
     arm();
 }
@@ -133,49 +135,50 @@
         return;
     stopped_ = why;
     net_error ec;
-    if (held_ && held_->awaiting_response && why == stop_reason::caller_left)
-        close_in_order();
-    else if (held_)
-        held_->socket.close(ec);
-    if (then_)
-        then_(why);
+    if (connection_ && connection_->awaiting_response &&
+        why == stop_reason::caller_left)
+        half_close();
+    else if (connection_)
+        connection_->socket.close(ec);
+    if (on_stop_)
+        on_stop_(why);
 }
 
 void request_cancellation::stop_caller_left(net_error how)
 {
-    if (!ended_ && !caller_end_)
-        caller_end_ = how;
+    if (!ended_ && !caller_disconnect_)
+        caller_disconnect_ = how;
     stop(stop_reason::caller_left);
 }
 
-void request_cancellation::close_in_order()
+void request_cancellation::half_close()
 {
     net_error ec;
-    held_->socket.shutdown(tcp::socket::shutdown_send, ec);
-    // Its limits are of no use to a course that is stopped.
+    connection_->socket.shutdown(tcp::socket::shutdown_send, ec);
+    // A stopped request needs no limits any more.
     armed_for_.reset();
     timer_.cancel();
-    farewell_.emplace(socket_of(held_));
-    farewell_->close_after(farewell);
+    half_close_deadline_.emplace(socket_of(connection_));
+    half_close_deadline_->close_after(half_close_timeout);
 }
 
 void request_cancellation::clear_idle_timeout()
 {
     if (stopped_ == stop_reason::idle_timeout)
         stopped_ = stop_reason::none;
-    silence_limit_.reset();
+    idle_deadline_.reset();
     arm();
 }
 
 void request_cancellation::end()
 {
     ended_ = true;
-    then_ = nullptr;
-    may_stop_silent_ = nullptr;
-    look_ = nullptr;
-    held_.reset();
+    on_stop_ = nullptr;
+    may_stop_idle_ = nullptr;
+    check_caller_ = nullptr;
+    connection_.reset();
     timer_.cancel();
-    farewell_.reset();
+    half_close_deadline_.reset();
 }
 
 } // namespace fennelladder::edge
