--- a/include/fennelladder/edge/caller_server.hpp
+++ b/include/fennelladder/edge/caller_server.hpp
@@ -1,15 +1,16 @@
-// Serves callers: accepts connections, reads their requests one after the
-// other, hands each to the driver, and notices when a caller leaves.
+// Serves callers: accepts connections, reads the requests of each one after the
+// other, passes them to the request driver, and notices when a caller
+// disconnects.
 //
 //     caller_server server(tables, driver, limits);
 //     server.start(address);
-//     server.start_draining();          // when the node leaves
+//     server.start_draining();          // when the node shuts down
 //     server.stop_accepting();
 //     server.reject_new_requests();
 //
-// Bounds that keep a flood from ending the process: connections, requests
-// under way, and bytes of bodies held; what exceeds them is answered 503 at
-// once ("not run").
+// Limits on connections, requests in flight and buffered body bytes keep a
+// flood from exhausting the process. Connections beyond the limit are closed;
+// requests beyond it are answered 503 at once ("not run").
 //
 // Not thread safe.
 
@@ -24,14 +25,15 @@
 
 namespace fennelladder::edge {
 
+/// Load limits of a caller_server.
 struct caller_server_limits
 {
     std::size_t connections = 2000;
-    std::size_t requests = 600;          ///< Under way at once.
-    std::size_t body_bytes = 16'000'000; ///< Held at once, over all requests.
+    std::size_t requests = 600;          ///< In flight at once.
+    std::size_t body_bytes = 16'000'000; ///< Buffered, over all requests.
 };
 
-/// Limits that fit a host.
+/// Limits that fit the memory and descriptors of a host.
 caller_server_limits limits_for(const adapter::host_settings& settings);
 
 class caller_session;
@@ -43,21 +45,24 @@
                   caller_server_limits limits);
     ~caller_server();
 
+    /// Listens on `address`, an IP:port, and serves. Fails if it cannot be
+    /// bound.
     status start(const std::string& address);
 
-    /// No new connections from now on.
+    /// Accepts no new connections from now on.
     void stop_accepting();
 
-    /// From now on each answer ends its connection.
+    /// From now on, each response closes its connection.
     void start_draining();
 
-    /// Refuses new requests; connections on which none has come are closed.
+    /// Rejects new requests, and closes the connections on which none has
+    /// arrived.
     void reject_new_requests();
 
-    /// Connections of callers.
+    /// Number of open connections of callers.
     std::size_t sessions() const { return sessions_->size(); }
 
-    /// Requests that are being read, served or answered.
+    /// Number of requests that are being read, processed or answered.
     std::size_t requests_in_flight() const;
 
 private:
@@ -65,18 +70,18 @@
     using session_set = std::set<caller_session*>;
 
     awaitable<void> accept();
-    void note_not_taken(const std::string& reason) const;
-    const char* reason_to_refuse(const caller_request& request) const;
+    void log_not_accepted(const std::string& reason) const;
+    const char* rejection_reason(const caller_request& request) const;
 
     node_tables& tables_;
     request_driver& driver_;
     const caller_server_limits limits_;
     tcp::acceptor acceptor_;
     std::shared_ptr<session_set> sessions_ = std::make_shared<session_set>();
-    std::size_t served_now_ = 0;
+    std::size_t active_requests_ = 0;
     std::size_t body_bytes_ = 0;
-    bool leaving_ = false;
-    bool refusing_ = false;
+    bool draining_ = false;
+    bool rejecting_ = false;
 };
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/simple_server.hpp
+++ b/include/fennelladder/edge/simple_server.hpp
@@ -1,11 +1,12 @@
-// Serves short questions over HTTP: readiness, entry, metrics.
+// A small HTTP server for short requests: readiness, entry and metrics.
 //
-//     simple_server server(io, address, [](const simple_request& asked) {
+//     simple_server server(io, address, [](const simple_request& request) {
 //         return simple_response{200, "text/plain", "fine\n"};
 //     });
 //     if (auto ok = server.start(); !ok) ...
 //
-// The handler is called on the node's thread and must not block.
+// The handler is called on the node's thread and must not block. Not thread
+// safe.
 
 #ifndef FENNELLADDER_EDGE_SIMPLE_SERVER_HPP
 #define FENNELLADDER_EDGE_SIMPLE_SERVER_HPP
@@ -23,7 +24,7 @@
 {
     std::string method;
     std::string path;
-    std::string query; ///< Without the question mark.
+    std::string query; ///< Without the question query_at.
 };
 
 struct simple_response
@@ -40,9 +41,10 @@
 
     simple_server(asio::io_context& io, std::string address, handler answer);
 
+    /// Listens and serves. Fails if the address cannot be bound.
     status start();
 
-    /// Takes no more connections.
+    /// Accepts no more connections; those that are open are still served.
     void stop();
 
 private:
@@ -51,11 +53,12 @@
 
     asio::io_context& io_;
     std::string address_;
-    handler answer_;
+    handler handler_;
     tcp::acceptor acceptor_;
 };
 
-/// Opens a listening socket. Fails with the reason.
+/// Makes `acceptor` listen on `address`, an IP:port. Fails if the address is
+/// invalid or cannot be bound.
 status listen_on(tcp::acceptor& acceptor, const std::string& address);
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/socket_deadline.hpp
+++ b/include/fennelladder/edge/socket_deadline.hpp
@@ -1,19 +1,19 @@
-// Closes a connection when its time is over. For everything that waits on a
-// socket, since a read, a write or a connect has no limit of its own.
+// Closes a connection when its deadline passes. For everything that waits on a
+// socket, since an asynchronous read, write or connect has no timeout.
 //
 //     socket_deadline limit(socket);
-//     limit.close_after(silence_limit);
-//     ... read some ...                  // bytes came:
-//     limit.close_after(silence_limit);  // the time begins anew
+//     limit.close_after(idle_timeout);
+//     ... read some ...
+//     limit.close_after(idle_timeout);  // bytes arrived: start over
 //     ... read the rest ...
-//     limit.clear();                     // nothing is waited for
+//     limit.clear();                    // nothing is awaited
 //
-// A loop that stood still for longer than the limit closes no connection on
-// which bytes came meanwhile: see expiry_check.hpp. A silent connection is
-// closed `expiry_grace` late.
+// An event loop that stalls for longer than the limit closes no connection on
+// which bytes arrived meanwhile: see expiry_check.hpp. An idle connection is
+// therefore closed `expiry_grace` after its deadline.
 //
-// Cost: one timer. Moving the deadline to a later time sets no timer anew.
-// Not thread safe.
+// Cost: one timer. Moving the deadline to a later time does not re-arm it. Not
+// thread safe.
 
 #ifndef FENNELLADDER_EDGE_SOCKET_DEADLINE_HPP
 #define FENNELLADDER_EDGE_SOCKET_DEADLINE_HPP
@@ -30,31 +30,32 @@
 public:
     using time_point = asio::steady_timer::time_point;
 
-    /// No limit yet. Doesn't keep the socket alive; a socket that is gone has
-    /// nothing left to close.
+    /// Sets no deadline yet. Does not keep the socket alive; a socket that has
+    /// been destroyed needs no closing.
     explicit socket_deadline(const std::shared_ptr<tcp::socket>& socket);
 
     ~socket_deadline() { clear(); }
     socket_deadline(const socket_deadline&) = delete;
     socket_deadline& operator=(const socket_deadline&) = delete;
 
-    /// Closes the socket at `at`, in place of any deadline before.
+    /// Closes the socket at `at`. Replaces any earlier deadline.
     void close_at(time_point at);
 
-    /// The same, `length` from now. A negative one has passed.
+    /// Closes the socket `length` from now. A negative length is a deadline
+    /// that has already passed.
     void close_after(duration length);
 
-    /// The socket may take as long as it likes.
+    /// Removes the deadline.
     void clear();
 
-    /// A deadline has closed the socket.
+    /// Whether a deadline has closed the socket.
     bool has_closed() const;
 
 private:
-    class course;
+    class state;
 
-    /// Held by the timer's handler too, which may run after this is gone.
-    std::shared_ptr<course> course_;
+    /// Shared with the timer's handler, which may run after this is destroyed.
+    std::shared_ptr<state> state_;
 };
 
 } // namespace fennelladder::edge
--- a/libs/edge/caller_server.cpp
+++ b/libs/edge/caller_server.cpp
@@ -1,6 +1,6 @@
-// A session is one connection. While a request is under way it also watches
-// for the caller's leaving: the socket becomes readable when the caller sends
-// ahead, which is kept for the next request, or when it closes.
+// A session is one connection. While a request is in flight it also watches for
+// the caller's disconnect: the socket becomes readable when the caller sends
+// its next request early, which is buffered, or when it closes the connection.
 
 #include "fennelladder/edge/caller_server.hpp"
 
@@ -18,31 +18,31 @@
 namespace {
 
 constexpr duration accept_pause = milliseconds(50);
-constexpr duration silence_limit = seconds(10);
+constexpr duration keepalive_timeout = seconds(10);
 
-/// A whole body has to be there within this time.
-constexpr duration body_limit_time = seconds(15);
+/// Time within which a whole body must have arrived.
+constexpr duration body_timeout = seconds(15);
 
-/// The same for what a node that refuses new requests still reads: it has come
-/// by then, or its caller has stopped sending.
-constexpr duration last_reading = milliseconds(500);
+/// The same for what a node that rejects new requests is still reading: by then
+/// it has arrived, or the caller has stopped sending.
+constexpr duration draining_read_timeout = milliseconds(500);
 
-/// A caller whose end was seen may still take an answer, up to this long: the
-/// target is cut off earlier, and its deadline ends nothing any more.
-constexpr duration last_delivery = milliseconds(300);
+/// A caller whose end of stream was seen may still read a response for this
+/// long. The target is disconnected earlier than that, and the request's
+/// deadline no longer applies.
+constexpr duration delivery_timeout = milliseconds(300);
 
-/// What a caller may send ahead of its next answer.
-constexpr std::size_t most_ahead = 65'536;
+/// Bytes buffered of what a caller sends before it has its response.
+constexpr std::size_t max_read_ahead = 65'536;
 
-/// Bytes of memory a connection is counted with, buffers of the kernel
-/// included.
-constexpr std::size_t bytes_a_connection = 24'576;
+/// Memory estimated per connection, including kernel buffers.
+constexpr std::size_t bytes_per_connection = 24'576;
 
 using request_parser = http::request_parser<http::string_body>;
 
-/// A body length that two sides could read in different ways is how one
-/// request hides in another; only "chunked" is taken.
-bool has_odd_transfer_encoding(const http::fields& fields)
+/// Guards against request smuggling, which uses body lengths that two parties
+/// interpret differently: only a single "chunked" is supported.
+bool has_unsupported_transfer_encoding(const http::fields& fields)
 {
     const auto range = fields.equal_range(http::field::transfer_encoding);
     int count = 0;
@@ -58,8 +58,9 @@
 {
     caller_server_limits out;
     const std::size_t memory = std::size_t(settings.memory_mb) * 1'000'000;
-    // A third for connections, a fifth for bodies; the rest is the process.
-    out.connections = std::min<std::size_t>(memory / 3 / bytes_a_connection,
+    // A third of the memory for connections, a fifth for bodies, and the
+    // remainder for the process itself.
+    out.connections = std::min<std::size_t>(memory / 3 / bytes_per_connection,
                                             settings.descriptors / 2);
     out.body_bytes = memory / 5;
     return out;
@@ -69,21 +70,21 @@
 {
 public:
     caller_session(caller_server& server, tcp::socket socket)
-        : server_(server), all_(server.sessions_), tables_(server.tables_),
+        : server_(server), sessions_(server.sessions_), tables_(server.tables_),
           socket_(std::move(socket)), reply_(socket_)
     {
-        all_->insert(this);
+        sessions_->insert(this);
     }
 
-    /// May run after the server is gone: with the node's end, sessions that
-    /// are left end with the io_context that holds their coroutines.
-    ~caller_session() { all_->erase(this); }
+    /// May run after the server was destroyed: when the node ends, remaining
+    /// sessions are destroyed with the io_context that holds their coroutines.
+    ~caller_session() { sessions_->erase(this); }
 
-    /// Holds the session for as long as it lasts.
+    /// Serves the connection and keeps the session alive until it ends.
     static awaitable<void> run(std::shared_ptr<caller_session> session);
 
-    /// No request is being read or served.
-    bool is_idle() const { return waiting_ && buf_.size() == 0; }
+    /// Whether no request is being read or served.
+    bool is_idle() const { return awaiting_request_ && buf_.size() == 0; }
 
     void close_if_unused();
 
@@ -91,27 +92,28 @@
     awaitable<void> serve_requests();
     awaitable<bool> wait_for_request();
     awaitable<bool> read_request(caller_request& out);
-    void limit_reading(duration length);
+    void set_read_deadline(duration length);
     awaitable<bool> reject(unsigned status, const char* reason);
-    void note_unread(const char* part, const net_error& ec) const;
+    void log_incomplete_request(const char* part, const net_error& ec) const;
     awaitable<void> serve(caller_request request);
-    void watch_caller(const request_cancellation_ptr& course);
-    net_error look_at_caller();
-    void on_readable(const request_cancellation_ptr& course);
-    void note_end(const caller_request& request,
-                  const request_cancellation& course) const;
+    void watch_caller(const request_cancellation_ptr& cancellation);
+    net_error read_ahead();
+    void on_readable(const request_cancellation_ptr& cancellation);
+    void log_undelivered(const caller_request& request,
+                         const request_cancellation& cancellation) const;
     void close();
 
     caller_server& server_;
-    std::shared_ptr<caller_server::session_set> all_;
+    std::shared_ptr<caller_server::session_set> sessions_;
     node_tables& tables_;
     tcp::socket socket_;
-    std::optional<socket_deadline> limit_; ///< Of what is waited for.
+    std::optional<socket_deadline>
+        read_deadline_; ///< For the read in progress.
     response_writer reply_;
     beast::flat_buffer buf_;
-    bool waiting_ = false; ///< For the first byte of a request.
+    bool awaiting_request_ = false; ///< Before its first byte.
     bool serving_ = false;
-    bool first_ = true;
+    bool first_request_ = true;
 };
 
 void caller_session::close()
@@ -120,25 +122,26 @@
     socket_.close(ec);
 }
 
-/// Closes the connection of a node that leaves unless a request has come.
-/// Failure it guards against: a caller whose request was read, and whose
-/// connection then closes without a word, can't know whether it ran, and may
-/// not repeat what may run once. A request counts from its first byte in the
-/// kernel, as a busy node comes to read it late; it is refused in words.
+/// Closes the connection, while the node shuts down, unless a request has
+/// arrived. Failure it guards against: a caller whose request was read and
+/// whose connection then closes without a response cannot know whether it ran,
+/// and may not repeat a request that must run at most once. A request counts as
+/// arrived once its first byte is in the kernel, since a busy node reads it
+/// late; it is then rejected with a response.
 void caller_session::close_if_unused()
 {
     net_error ec;
     if (is_idle() && socket_.available(ec) == 0)
         close();
-    else if (!serving_ && limit_)
-        limit_->close_after(last_reading);
+    else if (!serving_ && read_deadline_)
+        read_deadline_->close_after(draining_read_timeout);
 }
 
-/// Closes the connection unless what is read is there after `length`.
-void caller_session::limit_reading(duration length)
+/// Closes the connection unless the current read completes within `length`.
+void caller_session::set_read_deadline(duration length)
 {
-    limit_->close_after(server_.refusing_ ? std::min(length, last_reading)
-                                          : length);
+    read_deadline_->close_after(
+        server_.rejecting_ ? std::min(length, draining_read_timeout) : length);
 }
 
 awaitable<bool> caller_session::wait_for_request()
@@ -148,13 +151,13 @@
     const auto config = tables_.config;
     const catalog::caller_limits limits =
         config ? config->parts().limits : catalog::caller_limits();
-    limit_->close_after(
-        first_ ? std::min(limits.header_timeout, limits.idle_timeout)
-               : limits.idle_timeout);
+    read_deadline_->close_after(
+        first_request_ ? std::min(limits.header_timeout, limits.idle_timeout)
+                       : limits.idle_timeout);
     net_error ec;
-    waiting_ = true;
+    awaiting_request_ = true;
     co_await socket_.async_wait(tcp::socket::wait_read, into(ec));
-    waiting_ = false;
+    awaiting_request_ = false;
     co_return !ec && socket_.is_open();
 }
 
@@ -169,7 +172,8 @@
     co_return false;
 }
 
-void caller_session::note_unread(const char* part, const net_error& ec) const
+void caller_session::log_incomplete_request(const char* part,
+                                            const net_error& ec) const
 {
     telemetry::log_event(
         telemetry::event::request_unread,
@@ -187,50 +191,51 @@
     request_parser parser;
     parser.header_limit(limits.header_bytes);
     parser.body_limit(limits.body_bytes);
-    limit_reading(limits.header_timeout);
+    set_read_deadline(limits.header_timeout);
     net_error ec;
     co_await http::async_read_header(socket_, buf_, parser, into(ec));
     if (ec == http::error::header_limit) {
-        const bool more = co_await reject(431, "head too large");
+        const bool more = co_await reject(431, "request head too large");
         co_return more;
     }
     if (ec == http::error::body_limit) {
-        const bool more = co_await reject(413, "body too large");
+        const bool more = co_await reject(413, "request body too large");
         co_return more;
     }
     if (ec) {
-        // Beast's own errors are faults of what was sent; others mean that
-        // there is nobody to tell.
-        const bool nobody =
+        // Errors of Beast's parser are faults of the request; any other error
+        // means that the caller is gone.
+        const bool disconnected =
             ec == http::error::end_of_stream ||
             ec.category() !=
                 make_error_code(http::error::bad_method).category();
-        // An end between two requests is nothing to tell of.
-        if (nobody && parser.got_some())
-            note_unread("head", ec);
-        if (nobody)
+        // A disconnect between two requests is not logged.
+        if (disconnected && parser.got_some())
+            log_incomplete_request("head", ec);
+        if (disconnected)
             co_return false;
         const bool more = co_await reject(400, "no proper request");
         co_return more;
     }
-    if (has_odd_transfer_encoding(parser.get())) {
-        const bool more = co_await reject(400, "transfer encoding");
+    if (has_unsupported_transfer_encoding(parser.get())) {
+        const bool more = co_await reject(400, "unsupported transfer encoding");
         co_return more;
     }
     out.arrived = tables_.now();
     if (beast::iequals(parser.get()[http::field::expect], "100-continue")) {
-        const std::string go_on = "HTTP/1.1 100 Continue\r\n\r\n";
-        co_await asio::async_write(socket_, asio::buffer(go_on), into(ec));
+        const std::string interim_response = "HTTP/1.1 100 Continue\r\n\r\n";
+        co_await asio::async_write(socket_, asio::buffer(interim_response),
+                                   into(ec));
     }
-    limit_reading(body_limit_time);
+    set_read_deadline(body_timeout);
     co_await http::async_read(socket_, buf_, parser, into(ec));
-    limit_->clear();
+    read_deadline_->clear();
     if (ec == http::error::body_limit) {
-        const bool more = co_await reject(413, "body too large");
+        const bool more = co_await reject(413, "request body too large");
         co_return more;
     }
     if (ec) {
-        note_unread("body", ec);
+        log_incomplete_request("body", ec);
         co_return false;
     }
     if (!parser.keep_alive())
@@ -247,47 +252,49 @@
     co_return true;
 }
 
-/// Reads what the caller sent ahead. An error if its connection has ended:
-/// end of file if the caller closed it.
-net_error caller_session::look_at_caller()
+/// Buffers, without waiting, what the caller has sent before its response.
+/// Returns an error if the connection has ended: end of file if the caller
+/// closed it.
+net_error caller_session::read_ahead()
 {
-    if (buf_.size() >= most_ahead)
+    if (buf_.size() >= max_read_ahead)
         return {};
     net_error ec;
     const std::size_t n =
-        socket_.read_some(buf_.prepare(most_ahead - buf_.size()), ec);
+        socket_.read_some(buf_.prepare(max_read_ahead - buf_.size()), ec);
     if (!ec)
         buf_.commit(n);
     return is_transient(ec) ? net_error() : ec;
 }
 
-void caller_session::on_readable(const request_cancellation_ptr& course)
+void caller_session::on_readable(const request_cancellation_ptr& cancellation)
 {
-    if (const net_error ended = look_at_caller())
-        course->stop_caller_left(ended);
-    else if (buf_.size() < most_ahead)
-        watch_caller(course);
+    if (const net_error ended = read_ahead())
+        cancellation->stop_caller_left(ended);
+    else if (buf_.size() < max_read_ahead)
+        watch_caller(cancellation);
 }
 
-void caller_session::watch_caller(const request_cancellation_ptr& course)
+void caller_session::watch_caller(const request_cancellation_ptr& cancellation)
 {
     socket_.async_wait(
         tcp::socket::wait_read,
         [weak = weak_from_this(),
-         of = std::weak_ptr<request_cancellation>(course)](net_error ec) {
+         of = std::weak_ptr<request_cancellation>(cancellation)](net_error ec) {
             const auto self = weak.lock();
-            const auto running = of.lock();
-            if (!ec && self && running && self->serving_)
-                self->on_readable(running);
+            const auto active = of.lock();
+            if (!ec && self && active && self->serving_)
+                self->on_readable(active);
         });
 }
 
-/// An answer that wasn't delivered though the caller wasn't seen to leave is
-/// a failure of this node or of the way to the caller.
-void caller_session::note_end(const caller_request& request,
-                              const request_cancellation& course) const
+/// Logs a response that was not delivered although no disconnect of the caller
+/// was seen: a failure of this node or of the network to the caller.
+void caller_session::log_undelivered(
+    const caller_request& request,
+    const request_cancellation& cancellation) const
 {
-    if (reply_.finished() || course.caller_disconnect())
+    if (reply_.finished() || cancellation.caller_disconnect())
         return;
     const duration took = tables_.now() - request.arrived;
     telemetry::log_event(
@@ -302,38 +309,38 @@
 
 awaitable<void> caller_session::serve(caller_request request)
 {
-    const auto course =
+    const auto cancellation =
         std::make_shared<request_cancellation>(tables_.io, tables_.time);
     serving_ = true;
-    ++server_.served_now_;
+    ++server_.active_requests_;
     server_.body_bytes_ += request.body.size();
-    // A caller that doesn't take its answer holds a write up; giving the
-    // request up ends that too.
-    course->on_stop([weak = weak_from_this()](stop_reason why) {
+    // A caller that does not read its response blocks a write. Stopping the
+    // request closes the connection and so ends the write.
+    cancellation->on_stop([weak = weak_from_this()](stop_reason why) {
         const auto self = weak.lock();
         if (!self || why == stop_reason::idle_timeout)
             return;
         if (self->reply_.is_writing())
             self->close();
         else if (why == stop_reason::caller_left)
-            self->limit_->close_after(last_delivery);
+            self->read_deadline_->close_after(delivery_timeout);
     });
-    course->on_caller_check(
-        [this, weak = std::weak_ptr<request_cancellation>(course)] {
-            const auto running = weak.lock();
-            const net_error ended = running ? look_at_caller() : net_error();
+    cancellation->on_caller_check(
+        [this, weak = std::weak_ptr<request_cancellation>(cancellation)] {
+            const auto active = weak.lock();
+            const net_error ended = active ? read_ahead() : net_error();
             if (ended)
-                running->stop_caller_left(ended);
+                active->stop_caller_left(ended);
         });
-    watch_caller(course);
+    watch_caller(cancellation);
     tables_.requests_taken.add(1, tables_.now());
-    co_await server_.driver_.serve(request, reply_, course);
-    note_end(request, *course);
-    course->end();
+    co_await server_.driver_.serve(request, reply_, cancellation);
+    log_undelivered(request, *cancellation);
+    cancellation->end();
     net_error ec;
     socket_.cancel(ec);
     server_.body_bytes_ -= request.body.size();
-    --server_.served_now_;
+    --server_.active_requests_;
     serving_ = false;
 }
 
@@ -344,8 +351,9 @@
 
 awaitable<void> caller_session::serve_requests()
 {
-    enable_keepalive(socket_, silence_limit);
-    limit_.emplace(std::shared_ptr<tcp::socket>(shared_from_this(), &socket_));
+    enable_keepalive(socket_, keepalive_timeout);
+    read_deadline_.emplace(
+        std::shared_ptr<tcp::socket>(shared_from_this(), &socket_));
     net_error ec;
     socket_.non_blocking(true, ec);
     for (;;) {
@@ -357,10 +365,10 @@
         const bool read = co_await read_request(request);
         if (!read)
             break;
-        request.first_on_connection = std::exchange(first_, false);
-        if (server_.leaving_)
+        request.first_on_connection = std::exchange(first_request_, false);
+        if (server_.draining_)
             reply_.close_when_done();
-        if (const char* reason = server_.reason_to_refuse(request)) {
+        if (const char* reason = server_.rejection_reason(request)) {
             telemetry::log_event(telemetry::event::request_refused,
                                  {{"id", request.facts.id},
                                   {"outcome", "503"},
@@ -374,13 +382,13 @@
         if (!reply_.finished() || reply_.closes_connection())
             break;
     }
-    limit_->clear();
-    // Unread bytes would turn the end into a reset, which may take the last
-    // answer with it.
+    read_deadline_->clear();
+    // Closing a socket with unread bytes sends a reset, on which the caller may
+    // lose the last response.
     socket_.shutdown(tcp::socket::shutdown_send, ec);
     if (reply_.closes_connection() && reply_.finished()) {
-        char rest[1024];
-        while (socket_.read_some(asio::buffer(rest), ec) > 0 && !ec) {
+        char discarded[1024];
+        while (socket_.read_some(asio::buffer(discarded), ec) > 0 && !ec) {
         }
     }
     close();
@@ -401,16 +409,16 @@
     return {};
 }
 
-/// Null if the request may be taken.
-const char* caller_server::reason_to_refuse(const caller_request& request) const
+/// Returns why the request is rejected, or null if it is accepted.
+const char* caller_server::rejection_reason(const caller_request& request) const
 {
-    if (refusing_)
+    if (rejecting_)
         return "the node leaves";
     if (tables_.news_are_late())
         return "news are late";
-    const bool full = served_now_ >= limits_.requests ||
+    const bool full = active_requests_ >= limits_.requests ||
                       body_bytes_ + request.body.size() > limits_.body_bytes;
-    return full ? "too much at once" : nullptr;
+    return full ? "too many requests or body bytes in flight" : nullptr;
 }
 
 std::size_t caller_server::requests_in_flight() const
@@ -427,18 +435,18 @@
 
 void caller_server::start_draining()
 {
-    leaving_ = true;
+    draining_ = true;
 }
 
 void caller_server::reject_new_requests()
 {
-    refusing_ = true;
+    rejecting_ = true;
     const auto all = *sessions_;
     for (caller_session* it : all)
         it->close_if_unused();
 }
 
-void caller_server::note_not_taken(const std::string& reason) const
+void caller_server::log_not_accepted(const std::string& reason) const
 {
     if (!acceptor_.is_open())
         return;
@@ -455,12 +463,12 @@
         net_error ec;
         co_await acceptor_.async_accept(socket, into(ec));
         if (ec) {
-            note_not_taken(disconnect_reason(ec));
+            log_not_accepted(disconnect_reason(ec));
             co_await sleep_on(timer, accept_pause);
             continue;
         }
         if (sessions_->size() >= limits_.connections) {
-            note_not_taken("as many as the host holds");
+            log_not_accepted("connection limit reached");
             socket.close(ec);
             continue;
         }
--- a/libs/edge/event_splitter_test.cpp
+++ b/libs/edge/event_splitter_test.cpp
@@ -19,7 +19,7 @@
     event_splitter events;
 };
 
-TEST(event_splitter, passes_whole_events_whatever_the_pieces)
+TEST(event_splitter, takes_whole_events_for_any_split_of_the_input)
 {
     const std::string all = event(1) + event(2) + event(3);
     for (std::size_t size = 1; size <= all.size(); ++size) {
@@ -36,27 +36,27 @@
     }
 }
 
-// Story: a target dies in the middle of an event; another goes on behind the
-// last whole one. The caller must get each event once.
+// A target dies in the middle of an event, and another resumes after the last
+// whole one. The caller must receive each event once.
 TEST(event_splitter, a_resumed_stream_has_each_event_once)
 {
     events.feed(event(1) + event(2) + "id: 3\nda");
     std::string out = events.take();
     events.discard_incomplete();
     STRCMP_EQUAL("2", events.last_id().c_str());
-    // It resumes one event too early.
+    // The second target resumes one event too early.
     CHECK(events.feed(event(2) + event(3)));
     out += events.take();
     CHECK(out == event(1) + event(2) + event(3));
 }
 
-TEST(event_splitter, a_missing_event_is_noticed)
+TEST(event_splitter, rejects_a_gap_in_the_ids)
 {
     CHECK(events.feed(event(1)));
     CHECK(!events.feed(event(3)));
 }
 
-TEST(event_splitter, what_never_ends_is_no_event)
+TEST(event_splitter, rejects_an_event_that_exceeds_the_limit)
 {
     const std::string much(100 * 1024, 'x');
     CHECK(events.feed(much));
--- a/libs/edge/request_cancellation_test.cpp
+++ b/libs/edge/request_cancellation_test.cpp
@@ -13,13 +13,13 @@
 
 constexpr duration limit = milliseconds(60);
 
-/// Far above what a stop takes, for machines that are busy.
+/// Well above the time that a stop takes, for busy machines.
 constexpr duration slack = seconds(2);
 
-/// A course without a connection, which notes what stops it.
-struct watched
+/// A request without a connection that records what stops it.
+struct recorded_request
 {
-    watched()
+    recorded_request()
     {
         cancellation->on_stop([this](stop_reason why) {
             stops.push_back(why);
@@ -27,9 +27,9 @@
         });
     }
 
-    /// The loop stands still over `limit`. What became ready meanwhile is
-    /// worked off in two steps, as an answer's head and body are; `last` is the
-    /// second, which is queued behind the timer's handler.
+    /// Stalls the loop beyond `limit`. What became ready meanwhile is handled
+    /// in two steps, like a response's head and body; `last` is the second one,
+    /// which is queued behind the timer's handler.
     void stall_before(std::function<void()> last)
     {
         asio::post(io, [this, last = std::move(last)]() mutable {
@@ -53,13 +53,13 @@
 
 TEST_GROUP(request_cancellation){};
 
-// Story: a node's loop stood still for longer than a target may be silent. The
-// answer and the expired timer were found in one round; the answer's head was
-// read, the timer stopped the course before its body was, and the whole answer
-// was thrown away.
-TEST(request_cancellation, what_came_during_a_stall_moves_the_silence_limit_on)
+// After a stall longer than the idle timeout, the response and the expired
+// timer become ready in one round. The timer must not stop the request between
+// reading the response's head and its body, which discarded a complete
+// response.
+TEST(request_cancellation, data_that_arrived_during_a_stall_extends_the_limit)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_idle_deadline(it.begun + limit);
     it.stall_before([&] { it.cancellation->set_idle_deadline(std::nullopt); });
     it.io.run();
@@ -67,22 +67,22 @@
     CHECK(it.cancellation->stopped() == stop_reason::none);
 }
 
-// Story: the same with the deadline of the request, which doesn't move on: the
-// answer that was there was replaced by the node's own 504.
-TEST(request_cancellation, what_came_during_a_stall_may_end_after_the_deadline)
+// The same with the request's deadline, which is never extended: the response
+// that had arrived was replaced by the node's own 504.
+TEST(request_cancellation, data_that_arrived_during_a_stall_may_end_the_request)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_deadline(it.begun + limit);
     it.stall_before([&] { it.cancellation->end(); });
     it.io.run();
     CHECK(it.stops.empty());
 }
 
-// What the first look let pass counts from then on: the limit that replaces
-// one that had passed is waited for in full, and looked at twice as well.
-TEST(request_cancellation, a_limit_that_was_moved_on_holds)
+// A limit that replaces an expired one is waited for in full and is itself
+// checked twice.
+TEST(request_cancellation, an_extended_limit_holds)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_idle_deadline(it.begun + limit);
     instant next;
     it.stall_before([&] {
@@ -95,9 +95,9 @@
     CHECK(it.stopped_at >= next && it.stopped_at < next + slack);
 }
 
-TEST(request_cancellation, a_stall_is_no_excuse_for_a_silent_target)
+TEST(request_cancellation, stops_an_idle_target_after_a_stall)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_idle_deadline(it.begun + limit);
     it.stall_before([] {});
     it.io.run();
@@ -106,11 +106,11 @@
     CHECK(it.stopped_at < it.begun + 2 * limit + slack);
 }
 
-// A course that passed both its limits in one stall is out of time: no other
-// target may be tried.
-TEST(request_cancellation, a_deadline_goes_before_a_silence)
+// A request that passed both limits in one stall has exceeded its deadline: no
+// other target may be tried.
+TEST(request_cancellation, the_deadline_precedes_the_idle_timeout)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_idle_deadline(it.begun + limit / 2);
     it.cancellation->set_deadline(it.begun + limit);
     it.stall_before([] {});
@@ -119,10 +119,10 @@
     CHECK(it.stops[0] == stop_reason::deadline_exceeded);
 }
 
-// A silent attempt is over, and its request still ends at its deadline.
-TEST(request_cancellation, a_deadline_holds_after_a_silent_attempt)
+// After an attempt was stopped as idle, the request still ends at its deadline.
+TEST(request_cancellation, the_deadline_holds_after_an_idle_attempt)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_deadline(it.begun + 3 * limit);
     it.cancellation->set_idle_deadline(it.begun + limit);
     it.cancellation->on_stop([&](stop_reason why) {
@@ -137,9 +137,9 @@
     CHECK(it.cancellation->stopped() == stop_reason::deadline_exceeded);
 }
 
-TEST(request_cancellation, is_stopped_once)
+TEST(request_cancellation, later_stops_have_no_effect)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_deadline(it.begun + limit);
     it.cancellation->stop(stop_reason::caller_left);
     it.io.run();
@@ -147,9 +147,9 @@
     CHECK(it.cancellation->stopped() == stop_reason::caller_left);
 }
 
-TEST(request_cancellation, nothing_stops_one_that_has_ended)
+TEST(request_cancellation, an_ended_request_is_not_stopped)
 {
-    watched it;
+    recorded_request it;
     it.cancellation->set_deadline(it.begun + limit);
     it.cancellation->end();
     it.cancellation->set_idle_deadline(it.begun);
--- a/libs/edge/simple_server.cpp
+++ b/libs/edge/simple_server.cpp
@@ -7,18 +7,18 @@
 namespace {
 
 constexpr duration accept_pause = milliseconds(50);
-constexpr duration idle_limit = seconds(10);
+constexpr duration idle_timeout = seconds(10);
 constexpr std::uint32_t header_limit = 8'192;
 constexpr std::uint64_t body_limit = 16'384;
 
-simple_request request_of(const http::request<http::string_body>& from)
+simple_request to_simple_request(const http::request<http::string_body>& from)
 {
     const std::string target(from.target().data(), from.target().size());
-    const auto mark = std::min(target.find('?'), target.size());
+    const auto query_at = std::min(target.find('?'), target.size());
     simple_request out;
     out.method = std::string(from.method_string());
-    out.path = target.substr(0, mark);
-    out.query = target.substr(std::min(mark + 1, target.size()));
+    out.path = target.substr(0, query_at);
+    out.query = target.substr(std::min(query_at + 1, target.size()));
     return out;
 }
 
@@ -28,7 +28,8 @@
 {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint)
-        return fail(error_code::invalid, "not an address: '" + address + "'");
+        return fail(error_code::invalid,
+                    "not an IP:port address: '" + address + "'");
     try {
         acceptor.open(endpoint->protocol());
         acceptor.set_option(tcp::acceptor::reuse_address(true));
@@ -42,7 +43,7 @@
 
 simple_server::simple_server(asio::io_context& io, std::string address,
                              handler answer)
-    : io_(io), address_(std::move(address)), answer_(std::move(answer)),
+    : io_(io), address_(std::move(address)), handler_(std::move(answer)),
       acceptor_(io)
 {}
 
@@ -76,11 +77,11 @@
 
 awaitable<void> simple_server::serve(std::shared_ptr<tcp::socket> socket)
 {
-    enable_keepalive(*socket, idle_limit);
+    enable_keepalive(*socket, idle_timeout);
     beast::flat_buffer buf;
     socket_deadline limit(socket);
     for (;;) {
-        limit.close_after(idle_limit);
+        limit.close_after(idle_timeout);
         http::request_parser<http::string_body> parser;
         parser.header_limit(header_limit);
         parser.body_limit(body_limit);
@@ -88,16 +89,16 @@
         co_await http::async_read(*socket, buf, parser, into(ec));
         if (ec)
             co_return;
-        const auto& asked = parser.get();
-        const simple_response made = answer_(request_of(asked));
+        const auto& request = parser.get();
+        const simple_response response = handler_(to_simple_request(request));
         http::response<http::string_body> answer(
-            http::int_to_status(made.status), 11);
-        answer.set(http::field::content_type, made.content_type);
-        answer.body() = made.body;
-        answer.keep_alive(asked.keep_alive());
+            http::int_to_status(response.status), 11);
+        answer.set(http::field::content_type, response.content_type);
+        answer.body() = response.body;
+        answer.keep_alive(request.keep_alive());
         answer.prepare_payload();
         co_await http::async_write(*socket, answer, into(ec));
-        if (ec || !asked.keep_alive())
+        if (ec || !request.keep_alive())
             co_return;
     }
 }
--- a/libs/edge/socket_deadline.cpp
+++ b/libs/edge/socket_deadline.cpp
@@ -4,10 +4,10 @@
 
 namespace fennelladder::edge {
 
-class socket_deadline::course : public std::enable_shared_from_this<course>
+class socket_deadline::state : public std::enable_shared_from_this<state>
 {
 public:
-    explicit course(const std::shared_ptr<tcp::socket>& socket)
+    explicit state(const std::shared_ptr<tcp::socket>& socket)
         : socket_(socket), timer_(socket->get_executor())
     {}
 
@@ -25,29 +25,29 @@
     asio::steady_timer timer_;
     std::optional<time_point> deadline_;
     std::optional<time_point> armed_for_;
-    expiry_check<time_point> look_;
-    bool waited_for_unread_ = false;
+    expiry_check<time_point> check_;
+    bool extended_for_unread_ = false;
     bool has_closed_ = false;
 };
 
-void socket_deadline::course::set(time_point at)
+void socket_deadline::state::set(time_point at)
 {
     deadline_ = at;
-    look_.reset();
-    waited_for_unread_ = false;
-    // One that rings too early finds out and waits for the rest.
+    check_.reset();
+    extended_for_unread_ = false;
+    // A timer that fires before the new deadline waits for the remaining time.
     if (!armed_for_ || at < *armed_for_)
         wait_until(at);
 }
 
-void socket_deadline::course::clear()
+void socket_deadline::state::clear()
 {
     deadline_.reset();
     armed_for_.reset();
     timer_.cancel();
 }
 
-void socket_deadline::course::wait_until(time_point at)
+void socket_deadline::state::wait_until(time_point at)
 {
     armed_for_ = at;
     timer_.expires_at(at);
@@ -57,32 +57,34 @@
     });
 }
 
-/// May also run, once, for a wait that was replaced or cancelled.
-void socket_deadline::course::on_timer()
+/// May also run once for a wait that was replaced or cancelled after its
+/// handler had been queued.
+void socket_deadline::state::on_timer()
 {
     armed_for_.reset();
     if (!deadline_)
         return;
     const auto now = asio::steady_timer::clock_type::now();
-    if (!look_.has_expired(*deadline_, now))
-        return wait_until(look_.next_check(*deadline_));
-    // A second look that was queued before a stall may run ahead of what came
-    // during it. Once only: what nobody reads is no reason to stay open.
-    if (!waited_for_unread_ && has_unread()) {
-        waited_for_unread_ = true;
+    if (!check_.has_expired(*deadline_, now))
+        return wait_until(check_.next_check(*deadline_));
+    // A second check that was queued before a stall may run before the handlers
+    // of bytes that arrived during it. Wait for these once only: bytes that
+    // nobody reads must not keep the connection open.
+    if (!extended_for_unread_ && has_unread()) {
+        extended_for_unread_ = true;
         return wait_until(now + expiry_grace);
     }
     close();
 }
 
-bool socket_deadline::course::has_unread() const
+bool socket_deadline::state::has_unread() const
 {
     net_error ec;
     const auto socket = socket_.lock();
     return socket && socket->available(ec) > 0;
 }
 
-void socket_deadline::course::close()
+void socket_deadline::state::close()
 {
     deadline_.reset();
     has_closed_ = true;
@@ -92,27 +94,27 @@
 }
 
 socket_deadline::socket_deadline(const std::shared_ptr<tcp::socket>& socket)
-    : course_(std::make_shared<course>(socket))
+    : state_(std::make_shared<state>(socket))
 {}
 
 void socket_deadline::close_at(time_point at)
 {
-    course_->set(at);
+    state_->set(at);
 }
 
 void socket_deadline::close_after(duration length)
 {
-    course_->set(asio::steady_timer::clock_type::now() + length);
+    state_->set(asio::steady_timer::clock_type::now() + length);
 }
 
 void socket_deadline::clear()
 {
-    course_->clear();
+    state_->clear();
 }
 
 bool socket_deadline::has_closed() const
 {
-    return course_->has_closed();
+    return state_->has_closed();
 }
 
 } // namespace fennelladder::edge
--- a/libs/edge/socket_deadline_test.cpp
+++ b/libs/edge/socket_deadline_test.cpp
@@ -15,7 +15,7 @@
 
 constexpr duration limit = milliseconds(100);
 
-/// Two ends of a connection; the near one has a deadline.
+/// Both ends of a connection; the near one has a deadline.
 struct ends
 {
     ends() : near_end(std::make_shared<tcp::socket>(io)), deadline(near_end)
@@ -26,7 +26,7 @@
         any.accept(far_end);
     }
 
-    /// Reads once; `then` runs when bytes came.
+    /// Reads once and calls `then` when bytes have arrived.
     void read(std::function<void()> then)
     {
         near_end->async_read_some(
@@ -39,7 +39,7 @@
             });
     }
 
-    /// The loop stands still, after a byte came if `with_byte`.
+    /// Stalls the loop, after the far end sent a byte if `with_byte`.
     void stall(duration length, bool with_byte)
     {
         asio::post(io, [this, length, with_byte] {
@@ -54,14 +54,14 @@
     tcp::socket far_end{io};
     socket_deadline deadline;
     std::array<char, 64> bytes{};
-    std::optional<steady_clock::time_point> ended; ///< The read failed.
+    std::optional<steady_clock::time_point> ended; ///< When the read failed.
 };
 
 } // namespace
 
 TEST_GROUP(socket_deadline){};
 
-TEST(socket_deadline, closes_a_silent_connection_in_time)
+TEST(socket_deadline, closes_an_idle_connection_in_time)
 {
     ends both;
     const auto begun = steady_clock::now();
@@ -74,10 +74,10 @@
     CHECK(*both.ended - begun < seconds(2));
 }
 
-// Story: the loop stood still for longer than the limit. Bytes and the expired
-// timer were found in one round; the bytes were read, the limit was moved on,
-// and the timer's handler, queued by then, closed the connection all the same.
-TEST(socket_deadline, bytes_that_came_during_a_stall_count)
+// After a stall longer than the limit, bytes and the expired timer become ready
+// in one round. The bytes are read and the deadline is extended, but the
+// timer's handler is already queued and must not close the connection.
+TEST(socket_deadline, bytes_that_arrived_during_a_stall_count)
 {
     ends both;
     both.deadline.close_after(limit);
@@ -91,15 +91,15 @@
     CHECK(!both.ended && !both.deadline.has_closed());
 }
 
-// A handler that has been queued for long may come before the bytes: these are
-// asked for only after the limit, as by a coroutine that waited its turn.
-TEST(socket_deadline, bytes_that_wait_at_the_first_look_count)
+// The timer's handler may run before the bytes are read: here the read starts
+// only after the limit, like that of a coroutine that resumes late.
+TEST(socket_deadline, bytes_that_are_pending_at_the_first_check_count)
 {
     ends both;
     bool got = false;
     both.deadline.close_after(limit);
     both.stall(2 * limit, true);
-    // Begun after the timer's handler is queued.
+    // Starts the read after the timer's handler has been queued.
     asio::steady_timer late(both.io, 2 * limit);
     late.async_wait([&](net_error) {
         both.read([&] {
@@ -112,10 +112,11 @@
     CHECK(both.near_end->is_open());
 }
 
-// Story: a caller sent its next request on a connection that had rested for as
-// long as it may. The node stood still between its two looks; the second was
-// queued when the request came, and closed the connection over it, unread.
-TEST(socket_deadline, bytes_that_come_before_the_second_look_count)
+// A caller sends its next request on a connection that has reached its idle
+// timeout, and the node stalls between the two checks. The second check is
+// already queued when the request arrives; it closed the connection with the
+// request unread.
+TEST(socket_deadline, bytes_that_arrive_before_the_second_check_count)
 {
     ends both;
     bool got = false;
@@ -126,7 +127,7 @@
     });
     asio::steady_timer before(both.io, limit + expiry_grace / 4);
     before.async_wait([&](net_error) {
-        // Both timers' handlers are queued after this.
+        // Both timers' handlers are queued after this stall.
         asio::post(both.io,
                    [] { std::this_thread::sleep_for(2 * expiry_grace); });
     });
@@ -138,8 +139,8 @@
     CHECK(both.near_end->is_open());
 }
 
-// A connection that nobody reads from doesn't stay for what lies in it.
-TEST(socket_deadline, bytes_that_are_never_read_are_no_excuse)
+// Unread bytes do not keep open a connection that nobody reads from.
+TEST(socket_deadline, closes_a_connection_with_bytes_that_are_never_read)
 {
     ends both;
     both.deadline.close_after(limit);
@@ -148,7 +149,7 @@
     CHECK(both.deadline.has_closed());
 }
 
-TEST(socket_deadline, a_stall_without_bytes_is_no_excuse)
+TEST(socket_deadline, closes_an_idle_connection_after_a_stall)
 {
     ends both;
     both.deadline.close_after(limit);
@@ -160,7 +161,7 @@
     CHECK(*both.ended - begun < seconds(2));
 }
 
-TEST(socket_deadline, may_be_moved_both_ways)
+TEST(socket_deadline, can_be_moved_earlier_and_later)
 {
     ends both;
     both.deadline.close_after(seconds(60));
@@ -175,7 +176,7 @@
     CHECK(*both.ended - begun < seconds(5));
 }
 
-TEST(socket_deadline, without_one_nothing_is_closed_nor_waited_for)
+TEST(socket_deadline, cleared_deadline_closes_nothing_and_keeps_no_timer)
 {
     ends both;
     both.deadline.close_after(seconds(60));
--- a/libs/edge/target_connection.cpp
+++ b/libs/edge/target_connection.cpp
@@ -28,7 +28,7 @@
 {}
 
 connection_ptr connection_pool::take_idle(const target_endpoint& to,
-                                          duration longest, instant now)
+                                          duration max_idle_time, instant now)
 {
     const auto found = idle_.find(to);
     if (found == idle_.end())
@@ -36,12 +36,12 @@
     auto& idle = found->second;
     while (!idle.empty()) {
         connection_ptr it = idle.back();
-        const duration rested = now - it->idle_since;
-        // The others have rested for longer still.
-        if (rested > longest && rested < it->idle_timeout)
+        const duration idle_time = now - it->idle_since;
+        // The others have been idle for longer still.
+        if (idle_time > max_idle_time && idle_time < it->idle_timeout)
             return nullptr;
         idle.pop_back();
-        if (rested < it->idle_timeout && !is_stale(it->socket))
+        if (idle_time < it->idle_timeout && !is_stale(it->socket))
             return it;
     }
     return nullptr;
@@ -58,14 +58,14 @@
     const auto endpoint = parse_endpoint(made->to.address);
     if (!endpoint)
         co_return fail(error_code::invalid,
-                       "not an address: " + made->to.address);
+                       "not an IP:port address: " + made->to.address);
     socket_deadline until(socket_of(made));
     until.close_after(limit);
     net_error ec;
     co_await made->socket.async_connect(*endpoint, into(ec));
     until.clear();
     if (!made->socket.is_open())
-        co_return fail(error_code::unavailable, "no connection in time");
+        co_return fail(error_code::unavailable, "connect timed out");
     if (ec)
         co_return fail(error_code::unavailable, "connect: " + ec.message());
     enable_keepalive(made->socket, options_.keepalive_timeout);
