--- a/include/fennelladder/edge/request_driver.hpp
+++ b/include/fennelladder/edge/request_driver.hpp
@@ -1,11 +1,11 @@
-// Carries one request from its caller to targets and back.
+// Drives one request from its caller through targets and back.
 //
-//     co_await driver.serve(request, reply, course);
+//     co_await driver.serve(request, reply, cancellation);
 //
-// In order: find the route and the team, set aside the tokens it may cost,
-// choose a target, attempt, decide what follows, and give the caller its
-// final answer. Each decision is one of the pure libraries'; this is the one
-// place that puts them together, and that logs why a request ended as it did.
+// In order: find the route and the team, reserve the tokens that the request
+// may cost, choose a target, run an attempt, decide the next step, and send the
+// caller its final response. Each decision is made by one of the pure
+// libraries; the driver combines them and logs why a request ended as it did.
 //
 // Not thread safe.
 
@@ -22,18 +22,18 @@
 class request_driver
 {
 public:
-    request_driver(node_tables& tables, token_allocator& desk);
+    request_driver(node_tables& tables, token_allocator& allocator);
 
-    /// Answers the request. Afterwards the reply is either finished or the
-    /// connection must be closed. Precondition: `course` is fresh.
+    /// Serves the request. Afterwards the reply is finished, or the caller's
+    /// connection must be closed. Precondition: `cancellation` is unused.
     awaitable<void> serve(const caller_request& request, response_writer& reply,
-                          request_cancellation_ptr course);
+                          request_cancellation_ptr cancellation);
 
 private:
     friend class request_run;
 
     node_tables& tables_;
-    token_allocator& desk_;
+    token_allocator& allocator_;
     target_prober prober_;
 };
 
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -1,6 +1,6 @@
-// The request is written while its answer is read, since a target may answer
-// before it has read a long body. If it does, the rest of the body is still
-// due on that connection, which is therefore closed and not used again.
+// The request is written while its response is read, since a target may respond
+// before it has read a long body. In that case the remaining body is still to
+// be sent on the connection, which is therefore closed instead of being reused.
 
 #include "fennelladder/edge/attempt.hpp"
 
@@ -15,23 +15,24 @@
 using dispatch::attempt_end;
 using dispatch::target_evidence;
 
-/// A connection within the fleet's networks is made in milliseconds; one that
-/// takes longer lost a packet or goes nowhere, and another target is sooner. On
-/// a link that is full it takes as long as bytes wait there, at any target.
-constexpr duration connect_limit = milliseconds(350);
+/// Within the fleet's networks a connection is made in milliseconds. One that
+/// takes longer has lost a packet or leads nowhere, and another target is
+/// faster. On a saturated link, connecting to any target takes as long as bytes
+/// queue there, so that time is added.
+constexpr duration connect_timeout = milliseconds(350);
 
-/// Answers up to this size are held until complete.
-constexpr std::size_t most_held = 524'288;
+/// Responses up to this size are buffered until complete.
+constexpr std::size_t max_buffered_bytes = 524'288;
 
-/// Answers to other requests that are skipped before the right one.
-constexpr int most_skipped = 4;
+/// Responses to other requests that are discarded before the right one.
+constexpr int max_skipped_responses = 4;
 
-/// A body up to this size has come with its head.
-constexpr std::size_t sure_to_be_read = 4096;
+/// A target has read a request body of up to this size together with its head.
+constexpr std::size_t max_body_read_with_head = 4096;
 
-constexpr std::size_t piece_size = 16'384;
+constexpr std::size_t read_chunk_bytes = 16'384;
 
-/// What is being written; outlives the attempt, since the write may.
+/// The request being written. Outlives the attempt, since the write may.
 struct outgoing_request
 {
     std::string head;
@@ -40,7 +41,7 @@
     bool done = false;
 };
 
-using answer_parser = http::response_parser<http::buffer_body>;
+using response_parser = http::response_parser<http::buffer_body>;
 
 class attempt
 {
@@ -51,30 +52,31 @@
 
 private:
     awaitable<bool> connect();
-    void note_signals(const answer_parser& parser,
-                      const adapter::answer_facts& facts);
-    bool is_wanted();
-    bool caller_has_ended() const;
-    bool answer_counts() const;
+    void record_signals(const response_parser& parser,
+                        const adapter::answer_facts& facts);
+    bool may_still_send();
+    bool caller_has_left() const;
+    bool may_use_response() const;
     bool is_head_request() const;
     void send();
-    awaitable<void> read_answers();
-    awaitable<bool> read_head(std::optional<answer_parser>& parser);
-    awaitable<bool> read_piece(answer_parser& parser, std::string& out);
-    awaitable<bool> skip(answer_parser& parser);
-    awaitable<void> take_answer(answer_parser& parser,
-                                const adapter::answer_facts& facts);
-    awaitable<void> pass_stream(answer_parser& parser);
-    awaitable<void> pass_whole(answer_parser& parser);
-    awaitable<void> pass_large(answer_parser& parser, std::string begun);
-    awaitable<void> hold_failure(answer_parser& parser);
-    awaitable<bool> pass_events(const answer_parser& parser);
-    response_head head_of(const answer_parser& parser) const;
+    awaitable<void> read_responses();
+    awaitable<bool> read_head(std::optional<response_parser>& parser);
+    awaitable<bool> read_body_part(response_parser& parser, std::string& out);
+    awaitable<bool> discard(response_parser& parser);
+    awaitable<void> handle_response(response_parser& parser,
+                                    const adapter::answer_facts& facts);
+    awaitable<void> relay_stream(response_parser& parser);
+    awaitable<void> relay_buffered(response_parser& parser);
+    awaitable<void> relay_unbuffered(response_parser& parser,
+                                     std::string begun);
+    awaitable<void> buffer_failure(response_parser& parser);
+    awaitable<bool> relay_events(const response_parser& parser);
+    response_head to_response_head(const response_parser& parser) const;
     void end(attempt_end how, target_evidence evidence, std::string detail);
-    void end_by_error(const char* where);
-    void moved_on(std::optional<duration> limit);
-    void give_back(const answer_parser& parser);
-    void note_first_byte();
+    void end_with_error(const char* where);
+    void extend_idle_deadline(std::optional<duration> limit);
+    void release_connection(const response_parser& parser);
+    void record_first_byte();
 
     attempt_input& in_;
     attempt_outcome out_;
@@ -85,19 +87,20 @@
 
 void attempt::end(attempt_end how, target_evidence evidence, std::string detail)
 {
-    // What a target does once it was told to stop says nothing against it.
-    const bool target_was_told = caller_has_ended();
+    // What a target does after it was told to stop is not held against it.
+    const bool told_to_stop = caller_has_left();
     const bool answered = evidence == target_evidence::answered;
-    out_.ended = target_was_told && how == attempt_end::garbled
+    out_.ended = told_to_stop && how == attempt_end::garbled
                      ? attempt_end::caller_left
                      : how;
     out_.evidence =
-        target_was_told && !answered ? target_evidence::nothing : evidence;
+        told_to_stop && !answered ? target_evidence::nothing : evidence;
     out_.detail = std::move(detail);
 }
 
-/// The connection failed, or was closed from outside.
-void attempt::end_by_error(const char* where)
+/// Ends the attempt after its connection failed or was closed by a
+/// cancellation.
+void attempt::end_with_error(const char* where)
 {
     switch (in_.cancellation.stopped()) {
     case stop_reason::caller_left:
@@ -112,8 +115,8 @@
     case stop_reason::none:
         break;
     }
-    // A kept connection that ended before any answer most likely ended before
-    // the request came: that says nothing of the target.
+    // A reused connection that ended before any response most likely ended
+    // before the request arrived, which says nothing about the target.
     out_.stale_connection = out_.reused_connection && !out_.first_byte;
     end(attempt_end::broken,
         out_.stale_connection ? target_evidence::nothing
@@ -121,21 +124,21 @@
         std::string(where) + ": " + ec_.message());
 }
 
-/// The caller's end was seen after the request went out, and the target was
-/// told. Failure it guards against: a caller that only ended its sending side,
-/// which looks the same, waits for an answer that is thrown away when it comes.
-/// What comes whole before the exchange cuts the target off is passed on; a
-/// caller that left doesn't take it.
-bool attempt::caller_has_ended() const
+/// Whether the caller's end of stream was seen after the request was sent, and
+/// the target was told to stop. Failure it guards against: a caller that only
+/// shut down its sending side, which looks the same, waits for a response that
+/// is discarded on arrival. A response that completes before the cancellation
+/// disconnects the target is therefore relayed; a caller that has left does not
+/// read it.
+bool attempt::caller_has_left() const
 {
     return in_.cancellation.stopped() == stop_reason::caller_left;
 }
 
-/// Whether what was read counts.
-bool attempt::answer_counts() const
+/// Whether response data that was read may still be used.
+bool attempt::may_use_response() const
 {
-    return in_.cancellation.stopped() == stop_reason::none ||
-           caller_has_ended();
+    return in_.cancellation.stopped() == stop_reason::none || caller_has_left();
 }
 
 bool attempt::is_head_request() const
@@ -143,7 +146,7 @@
     return in_.request.method == "HEAD";
 }
 
-void attempt::moved_on(std::optional<duration> limit)
+void attempt::extend_idle_deadline(std::optional<duration> limit)
 {
     if (limit)
         in_.cancellation.set_idle_deadline(in_.tables.now() + *limit);
@@ -154,7 +157,7 @@
 awaitable<bool> attempt::connect()
 {
     if (in_.cancellation.stopped() != stop_reason::none) {
-        end_by_error("before connecting");
+        end_with_error("before connecting");
         co_return false;
     }
     const target_endpoint to{in_.target.process(), in_.target.address};
@@ -167,8 +170,8 @@
     }
     connection_ = in_.tables.pool.make(to);
     in_.cancellation.attach(connection_);
-    // What the target answers waits like everything else on a full link.
-    const duration limit = connect_limit + 2 * in_.tables.queueing();
+    // The target's reply queues like all other traffic on a saturated link.
+    const duration limit = connect_timeout + 2 * in_.tables.queueing();
     const status made = co_await in_.tables.pool.open(connection_, limit);
     if (made && in_.cancellation.stopped() == stop_reason::none)
         co_return true;
@@ -176,26 +179,27 @@
         end(attempt_end::not_connected, target_evidence::unreachable,
             made.error().message);
     else
-        end_by_error("connect");
+        end_with_error("connect");
     co_return false;
 }
 
-/// On a node that is behind with its work a caller may have left unnoticed;
-/// what is sent on then only burdens a target. While it connected, or the node
-/// was busy, the target may have said that it leaves or rests, or this node's
-/// news may have become too old to know.
-bool attempt::is_wanted()
+/// Checks, just before sending, whether the request should still be sent; if
+/// not, ends the attempt. On a busy node the caller may have disconnected
+/// unnoticed, and the request would only load the target. During the connect,
+/// or while the node was busy, the target may have signalled that it leaves or
+/// backs off, or this node's updates may have become too old to know.
+bool attempt::may_still_send()
 {
     in_.cancellation.check_caller();
     if (in_.cancellation.stopped() != stop_reason::none) {
-        end_by_error("before sending");
+        end_with_error("before sending");
         return false;
     }
     const bool late = in_.tables.news_are_late();
     if (!late && in_.tables.book.may_use(in_.target.target, in_.tables.now()))
         return true;
-    // Nothing was sent: the request goes elsewhere as if no connection could
-    // be made, and the target isn't to blame.
+    // Nothing was sent: the request goes to another target, as after a failed
+    // connect, without evidence against this one.
     end(attempt_end::not_connected, target_evidence::nothing,
         late ? "news are late" : "it takes no more");
     return false;
@@ -220,70 +224,72 @@
     asio::async_write(connection_->socket, bytes,
                       [sent = outgoing_](net_error ec, std::size_t) {
                           sent->done = !ec;
-                          // A failure shows to the reader as well.
+                          // A failure is also seen by the reader.
                       });
 }
 
-awaitable<bool> attempt::read_head(std::optional<answer_parser>& parser)
+awaitable<bool> attempt::read_head(std::optional<response_parser>& parser)
 {
     for (;;) {
         parser.emplace();
         parser->body_limit(std::numeric_limits<std::uint64_t>::max());
-        // No body follows, whatever length its head states: waiting for one
-        // would last until the deadline.
+        // A response to HEAD has no body, whatever length its head states;
+        // waiting for one would last until the deadline.
         parser->skip(is_head_request());
         co_await http::async_read_header(connection_->socket, connection_->buf,
                                          *parser, into(ec_));
         connection_->awaiting_response = false;
-        if (ec_ || !answer_counts()) {
+        if (ec_ || !may_use_response()) {
             out_.produced_nothing =
                 ec_ == http::error::end_of_stream && outgoing_->done &&
                 in_.cancellation.stopped() == stop_reason::caller_left;
-            end_by_error("answer's head");
+            end_with_error("answer's head");
             co_return false;
         }
-        // Interim answers announce the real one.
+        // Interim (1xx) responses precede the final one.
         if (parser->get().result_int() >= 200)
             co_return true;
     }
 }
 
-/// Appends what comes next of the body. False on failure, which is noted.
-awaitable<bool> attempt::read_piece(answer_parser& parser, std::string& out)
+/// Appends the next part of the body to `out`. On failure, ends the attempt and
+/// returns false.
+awaitable<bool> attempt::read_body_part(response_parser& parser,
+                                        std::string& out)
 {
     const std::size_t before = out.size();
-    out.resize(before + piece_size);
+    out.resize(before + read_chunk_bytes);
     parser.get().body().data = out.data() + before;
-    parser.get().body().size = piece_size;
+    parser.get().body().size = read_chunk_bytes;
     co_await http::async_read_some(connection_->socket, connection_->buf,
                                    parser, into(ec_));
     if (ec_ == http::error::need_buffer)
         ec_ = {};
-    out.resize(before + piece_size - parser.get().body().size);
-    if (!ec_ && answer_counts())
+    out.resize(before + read_chunk_bytes - parser.get().body().size);
+    if (!ec_ && may_use_response())
         co_return true;
-    end_by_error("answer's body");
+    end_with_error("answer's body");
     co_return false;
 }
 
-awaitable<bool> attempt::skip(answer_parser& parser)
+awaitable<bool> attempt::discard(response_parser& parser)
 {
     if (parser.need_eof()) {
         end(attempt_end::garbled, target_evidence::broke,
-            "another request's answer without an end");
+            "response to another request, without a length");
         co_return false;
     }
-    std::string thrown_away;
+    std::string discarded;
     while (!parser.is_done()) {
-        const bool more = co_await read_piece(parser, thrown_away);
+        const bool more = co_await read_body_part(parser, discarded);
         if (!more)
             co_return false;
-        thrown_away.clear();
+        discarded.clear();
     }
     co_return true;
 }
 
-response_head attempt::head_of(const answer_parser& parser) const
+response_head attempt::to_response_head(const response_parser& parser) const
 {
     response_head out;
     out.status = parser.get().result_int();
@@ -295,15 +301,15 @@
     return out;
 }
 
-void attempt::give_back(const answer_parser& parser)
+void attempt::release_connection(const response_parser& parser)
 {
     const auto facts = adapter::read_answer(parser.get().base());
-    // A target that rejects a request may do so before it has read a long
-    // body, and end the connection over it.
+    // A target may reject a request before it has read a long body, and then
+    // close the connection because of the unread bytes.
     const bool unread =
-        facts.not_run && outgoing_->body.size() > sure_to_be_read;
-    // Where the sending side was ended, no other request can follow.
-    const bool clean = !caller_has_ended() && !unread && parser.is_done() &&
+        facts.not_run && outgoing_->body.size() > max_body_read_with_head;
+    // No other request can follow once the sending side was shut down.
+    const bool clean = !caller_has_left() && !unread && parser.is_done() &&
                        !parser.need_eof() && parser.keep_alive() &&
                        !facts.closes && outgoing_->done &&
                        connection_->buf.size() == 0;
@@ -314,7 +320,7 @@
     connection_.reset();
 }
 
-void attempt::note_first_byte()
+void attempt::record_first_byte()
 {
     if (out_.first_byte)
         return;
@@ -323,15 +329,16 @@
     in_.tables.book.first_byte(in_.target, now - *out_.sent_at, now);
 }
 
-/// Passes on the whole events that are there, behind the answer's head. False
-/// if the caller is gone. A caller that takes them slowly is no silence of the
-/// target; the request's deadline bounds it.
-awaitable<bool> attempt::pass_events(const answer_parser& parser)
+/// Relays the whole events that are buffered, after the response's head.
+/// Returns false if the caller has disconnected. The idle timeout is suspended,
+/// since a caller that reads slowly does not make the target idle; the
+/// request's deadline limits that time.
+awaitable<bool> attempt::relay_events(const response_parser& parser)
 {
-    moved_on(std::nullopt);
+    extend_idle_deadline(std::nullopt);
     bool sent = true;
     if (!in_.reply.begun()) {
-        const response_head head = head_of(parser);
+        const response_head head = to_response_head(parser);
         sent = co_await in_.reply.begin(head);
     }
     const std::string whole = in_.events.take();
@@ -342,39 +349,40 @@
     co_return sent;
 }
 
-awaitable<void> attempt::pass_stream(answer_parser& parser)
+awaitable<void> attempt::relay_stream(response_parser& parser)
 {
     in_.events.discard_incomplete();
-    std::string piece;
+    std::string part;
     std::uint64_t passed = in_.events.events();
     while (!parser.is_done()) {
-        piece.clear();
-        const bool more = co_await read_piece(parser, piece);
+        part.clear();
+        const bool more = co_await read_body_part(parser, part);
         if (!more)
             co_return;
         in_.tables.book.heard(in_.target.process(), in_.tables.now());
-        if (!in_.events.feed(piece)) {
+        if (!in_.events.feed(part)) {
             end(attempt_end::garbled, target_evidence::broke, "events");
             co_return;
         }
         if (in_.events.events() == passed)
             continue;
         passed = in_.events.events();
-        note_first_byte();
-        moved_on(in_.progress_timeout);
-        // The target is about to be cut off: a part would be of no use.
-        if (caller_has_ended())
+        record_first_byte();
+        extend_idle_deadline(in_.progress_timeout);
+        // The target is about to be disconnected: a partial response is
+        // useless.
+        if (caller_has_left())
             continue;
-        const bool passed_on = co_await pass_events(parser);
+        const bool passed_on = co_await relay_events(parser);
         if (!passed_on)
             co_return;
-        moved_on(in_.progress_timeout);
+        extend_idle_deadline(in_.progress_timeout);
     }
-    give_back(parser);
-    const bool passed_on = co_await pass_events(parser);
+    release_connection(parser);
+    const bool passed_on = co_await relay_events(parser);
     if (!passed_on)
         co_return;
-    // Bytes behind the last event belong to the target's whole answer.
+    // Bytes after the last event are part of the target's complete response.
     const std::string rest = in_.events.incomplete();
     (void)co_await in_.reply.send_chunk(rest);
     const bool finished = co_await in_.reply.finish();
@@ -384,25 +392,27 @@
         end(attempt_end::caller_left, target_evidence::nothing, "caller");
 }
 
-/// What can't be resumed isn't given up for a silence, and nothing may follow
-/// the part that the caller has: two answers in one would look whole.
-awaitable<void> attempt::pass_large(answer_parser& parser, std::string piece)
+/// Relays a response that is too large to buffer. It cannot be resumed, so it
+/// has no idle timeout, and no other attempt may continue it: two responses
+/// joined in one would look complete.
+awaitable<void> attempt::relay_unbuffered(response_parser& parser,
+                                          std::string part)
 {
-    moved_on(std::nullopt);
+    extend_idle_deadline(std::nullopt);
     out_.partial_body_sent = true;
-    const response_head head = head_of(parser);
+    const response_head head = to_response_head(parser);
     bool taken = co_await in_.reply.begin(head);
     while (taken) {
-        taken = co_await in_.reply.send_chunk(piece);
+        taken = co_await in_.reply.send_chunk(part);
         if (!taken || parser.is_done())
             break;
-        piece.clear();
-        const bool more = co_await read_piece(parser, piece);
+        part.clear();
+        const bool more = co_await read_body_part(parser, part);
         if (!more)
             co_return;
     }
     if (taken) {
-        give_back(parser);
+        release_connection(parser);
         taken = co_await in_.reply.finish();
     }
     if (taken)
@@ -411,22 +421,22 @@
         end(attempt_end::caller_left, target_evidence::nothing, "caller");
 }
 
-awaitable<void> attempt::pass_whole(answer_parser& parser)
+awaitable<void> attempt::relay_buffered(response_parser& parser)
 {
     std::string body;
     while (!parser.is_done()) {
-        const bool more = co_await read_piece(parser, body);
+        const bool more = co_await read_body_part(parser, body);
         if (!more)
             co_return;
-        moved_on(in_.progress_timeout);
-        if (body.size() > most_held) {
-            co_await pass_large(parser, std::move(body));
+        extend_idle_deadline(in_.progress_timeout);
+        if (body.size() > max_buffered_bytes) {
+            co_await relay_unbuffered(parser, std::move(body));
             co_return;
         }
     }
-    moved_on(std::nullopt);
-    give_back(parser);
-    const response_head head = head_of(parser);
+    extend_idle_deadline(std::nullopt);
+    release_connection(parser);
+    const response_head head = to_response_head(parser);
     const bool sent = co_await in_.reply.send_complete(head, body);
     if (sent)
         end(attempt_end::answered, target_evidence::answered, "");
@@ -434,43 +444,44 @@
         end(attempt_end::caller_left, target_evidence::nothing, "caller");
 }
 
-awaitable<void> attempt::hold_failure(answer_parser& parser)
+awaitable<void> attempt::buffer_failure(response_parser& parser)
 {
-    out_.head = head_of(parser);
-    while (!parser.is_done() && out_.body.size() <= most_held) {
-        const bool more = co_await read_piece(parser, out_.body);
+    out_.head = to_response_head(parser);
+    while (!parser.is_done() && out_.body.size() <= max_buffered_bytes) {
+        const bool more = co_await read_body_part(parser, out_.body);
         if (!more)
             co_return;
     }
-    give_back(parser);
+    release_connection(parser);
     end(attempt_end::failed_there, target_evidence::failed,
         "status " + std::to_string(out_.head.status));
 }
 
-/// Each answer says what the target takes, also a failure, a rejection, or a
-/// late one to another request; only what the target signed for this request is
-/// known to be its latest word.
-void attempt::note_signals(const answer_parser& parser,
-                           const adapter::answer_facts& facts)
+/// Records the load signals of a response. Every response states what the
+/// target accepts, including failures, rejections and late responses to other
+/// requests; only a response that the target signed for this request is known
+/// to carry its latest signal.
+void attempt::record_signals(const response_parser& parser,
+                             const adapter::answer_facts& facts)
 {
-    auto said =
+    auto signals =
         adapter::read_signals(parser.get().result_int(), parser.get().base());
-    if (!said)
+    if (!signals)
         return;
-    said->is_latest =
+    signals->is_latest =
         facts.signed_by_target && facts.request == in_.request.facts.id;
     const dispatch::signal_news news = in_.tables.book.note_signals(
-        in_.target.process(), *said, in_.tables.now());
-    log_signals(in_.target.target, *said, news, "answer");
+        in_.target.process(), *signals, in_.tables.now());
+    log_signals(in_.target.target, *signals, news, "answer");
 }
 
-awaitable<void> attempt::take_answer(answer_parser& parser,
-                                     const adapter::answer_facts& facts)
+awaitable<void> attempt::handle_response(response_parser& parser,
+                                         const adapter::answer_facts& facts)
 {
     const unsigned status = parser.get().result_int();
     if (facts.not_run || status == adapter::misdirected) {
-        (void)co_await skip(parser);
-        give_back(parser);
+        (void)co_await discard(parser);
+        release_connection(parser);
         const bool moved = status == adapter::misdirected;
         end(moved ? attempt_end::other_life : attempt_end::rejected,
             moved ? target_evidence::other_life : target_evidence::full,
@@ -483,57 +494,57 @@
         co_return;
     }
     if (status < 200 || status >= 300) {
-        co_await hold_failure(parser);
+        co_await buffer_failure(parser);
         co_return;
     }
     const auto type = parser.get()[http::field::content_type];
     if (in_.route.streams && !is_head_request() &&
         type.starts_with("text/event-stream")) {
-        co_await pass_stream(parser);
+        co_await relay_stream(parser);
         co_return;
     }
     if (in_.reply.begun()) {
         end(attempt_end::garbled, target_evidence::broke,
-            "no stream where one was to go on");
+            "resumed response is not an event stream");
         co_return;
     }
-    note_first_byte();
-    co_await pass_whole(parser);
+    record_first_byte();
+    co_await relay_buffered(parser);
 }
 
-awaitable<void> attempt::read_answers()
+awaitable<void> attempt::read_responses()
 {
-    std::optional<answer_parser> parser;
-    for (int skipped = 0; skipped <= most_skipped; ++skipped) {
+    std::optional<response_parser> parser;
+    for (int skipped = 0; skipped <= max_skipped_responses; ++skipped) {
         const bool read = co_await read_head(parser);
         if (!read)
             co_return;
         const auto facts = adapter::read_answer(parser->get().base());
-        note_signals(*parser, facts);
+        record_signals(*parser, facts);
         if (facts.request.empty() || facts.request == in_.request.facts.id) {
-            co_await take_answer(*parser, facts);
+            co_await handle_response(*parser, facts);
             co_return;
         }
-        const bool skipped_it = co_await skip(*parser);
-        if (!skipped_it)
+        const bool discarded_response = co_await discard(*parser);
+        if (!discarded_response)
             co_return;
     }
     end(attempt_end::garbled, target_evidence::broke,
-        "only other requests' answers");
+        "too many responses to other requests");
 }
 
 awaitable<attempt_outcome> attempt::run()
 {
     const bool connected = co_await connect();
-    if (connected && is_wanted()) {
-        moved_on(in_.first_byte_timeout);
+    if (connected && may_still_send()) {
+        extend_idle_deadline(in_.first_byte_timeout);
         send();
-        co_await read_answers();
+        co_await read_responses();
     }
     in_.cancellation.clear_idle_timeout();
     in_.cancellation.detach();
-    // A connection that didn't go back to the pool ends here: its target has
-    // to hear that nobody waits any more.
+    // Close a connection that did not return to the pool, so that its target
+    // learns that nobody is waiting any more.
     if (connection_) {
         net_error ec;
         connection_->socket.close(ec);
--- a/libs/edge/caller_server.cpp
+++ b/libs/edge/caller_server.cpp
@@ -195,11 +195,11 @@
     net_error ec;
     co_await http::async_read_header(socket_, buf_, parser, into(ec));
     if (ec == http::error::header_limit) {
-        const bool more = co_await reject(431, "request head too large");
+        const bool more = co_await reject(431, "head too large");
         co_return more;
     }
     if (ec == http::error::body_limit) {
-        const bool more = co_await reject(413, "request body too large");
+        const bool more = co_await reject(413, "body too large");
         co_return more;
     }
     if (ec) {
@@ -218,7 +218,7 @@
         co_return more;
     }
     if (has_unsupported_transfer_encoding(parser.get())) {
-        const bool more = co_await reject(400, "unsupported transfer encoding");
+        const bool more = co_await reject(400, "transfer encoding");
         co_return more;
     }
     out.arrived = tables_.now();
@@ -231,7 +231,7 @@
     co_await http::async_read(socket_, buf_, parser, into(ec));
     read_deadline_->clear();
     if (ec == http::error::body_limit) {
-        const bool more = co_await reject(413, "request body too large");
+        const bool more = co_await reject(413, "body too large");
         co_return more;
     }
     if (ec) {
@@ -418,7 +418,7 @@
         return "news are late";
     const bool full = active_requests_ >= limits_.requests ||
                       body_bytes_ + request.body.size() > limits_.body_bytes;
-    return full ? "too many requests or body bytes in flight" : nullptr;
+    return full ? "too much at once" : nullptr;
 }
 
 std::size_t caller_server::requests_in_flight() const
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -14,32 +14,32 @@
 using telemetry::log_event;
 namespace event = telemetry::event;
 
-/// While a node knows no configuration yet.
-constexpr duration come_back_at_start = milliseconds(500);
-/// A request that kills targets is not wanted back soon.
-constexpr duration come_back_poison = seconds(5);
+/// Retry-After while the node has no configuration yet.
+constexpr duration startup_retry_after = milliseconds(500);
+/// Retry-After of a quarantined request, which should not return soon.
+constexpr duration poison_retry_after = seconds(5);
 
-/// Callers who are to come back at the end of a rest are spread over this part
-/// of what is left of it, at least over default_retry_after.
-constexpr double come_back_spread = 0.5;
+/// Callers that should retry when a target's backoff ends are spread over this
+/// fraction of the remaining backoff, at least over default_retry_after.
+constexpr double retry_after_spread = 0.5;
 
-/// A request waits at least this long for tokens: two rounds among peers.
-constexpr duration least_token_wait = milliseconds(30);
+/// Minimum time that a request waits for tokens: two round trips among peers.
+constexpr duration min_token_wait = milliseconds(30);
 
-/// What may be sent again uses kept connections that rested up to this long;
-/// what may run once only those on which the target can hardly have given up
-/// meanwhile.
-constexpr duration rest_if_repeatable = seconds(60);
-constexpr duration rest_if_once = milliseconds(250);
+/// Requests that may be sent again reuse connections that were idle for up to
+/// this long. Those that may run only once use connections that the target can
+/// hardly have closed meanwhile.
+constexpr duration max_idle_if_repeatable = seconds(60);
+constexpr duration max_idle_if_once = milliseconds(250);
 
-/// Targets stop at the time they are given and say so; that answer is waited
-/// for this long.
-constexpr duration last_word = milliseconds(60);
+/// Targets stop at the deadline that they are given and send a response that
+/// says so. The node waits this long for it after the deadline.
+constexpr duration deadline_response_grace = milliseconds(60);
 
-/// A first byte is waited for at least this long, however short an objective.
-constexpr duration least_patience = milliseconds(250);
+/// Minimum timeout for the first byte, however short the latency objective.
+constexpr duration min_first_byte_timeout = milliseconds(250);
 
-constexpr int least_urgent = 9;
+constexpr int max_urgency_value = 9;
 
 struct refusal
 {
@@ -48,13 +48,13 @@
     const char* reason = "";
 };
 
-std::string_view path_only(std::string_view target)
+std::string_view without_query(std::string_view target)
 {
     return target.substr(0, target.find('?'));
 }
 
-/// How the last attempt ended, or why there was none.
-std::string reason_of(const attempt_outcome& last)
+/// How the last attempt ended, or why there was none, for logs and responses.
+std::string outcome_reason(const attempt_outcome& last)
 {
     const std::string ended(to_string(last.ended));
     return last.detail.empty() ? ended : ended + ": " + last.detail;
@@ -68,115 +68,118 @@
 
 } // namespace
 
-/// One request's way: what serve() knows while it lasts.
+/// The state of one request during serve().
 class request_run
 {
 public:
     request_run(request_driver& driver, const caller_request& request,
-                response_writer& reply, request_cancellation_ptr course)
+                response_writer& reply, request_cancellation_ptr cancellation)
         : driver_(driver), tables_(driver.tables_), request_(request),
-          reply_(reply), course_(std::move(course)), config_(tables_.config),
-          queued_(tables_.queueing())
+          reply_(reply), cancellation_(std::move(cancellation)),
+          config_(tables_.config), queueing_time_(tables_.queueing())
     {}
 
     awaitable<void> run();
 
 private:
     std::optional<refusal> find_route();
-    awaitable<std::optional<refusal>> set_aside_tokens();
-    awaitable<void> attempt_until_done();
-    awaitable<attempt_outcome> attempt_at(const dispatch::choice& target);
-    void note_attempt(const attempt_outcome& got,
-                      const dispatch::choice& target);
-    void suspect(const attempt_outcome& got, const dispatch::choice& target);
-    awaitable<void> conclude(next_action action, const attempt_outcome& last);
+    awaitable<std::optional<refusal>> reserve_tokens();
+    awaitable<void> run_attempts();
+    awaitable<attempt_outcome> run_attempt_at(const dispatch::choice& target);
+    void record_attempt(const attempt_outcome& got,
+                        const dispatch::choice& target);
+    void report_to_prober(const attempt_outcome& got,
+                          const dispatch::choice& target);
+    awaitable<void> respond(next_action action, const attempt_outcome& last);
     awaitable<void> refuse(const refusal& why);
     void settle();
     void log_end(int number, std::string_view outcome, std::string_view reason);
-    dispatch::work_wish wish() const;
-    adapter::passing_on order_for(const dispatch::choice& target) const;
+    dispatch::work_wish routing_request() const;
+    adapter::passing_on forwarding_for(const dispatch::choice& target) const;
     duration time_left() const;
-    duration whole_time() const;
+    duration total_time() const;
     int urgency() const;
-    const service_id& pick_service();
+    const service_id& choose_service();
     std::optional<dispatch::choice> choose_target();
-    bool another_is_possible() const;
-    bool may_give_up_silent(const dispatch::choice& silent);
+    bool retry_is_possible() const;
+    bool may_abandon_idle(const dispatch::choice& idle);
     bool may_send() const;
     bool take_retry();
-    std::string_view why_no_target() const;
-    duration when_to_come_back();
-    tokens worst_case() const;
+    std::string_view no_target_reason() const;
+    duration retry_after();
+    tokens max_cost() const;
 
     request_driver& driver_;
     node_tables& tables_;
     const caller_request& request_;
     response_writer& reply_;
-    request_cancellation_ptr course_;
+    request_cancellation_ptr cancellation_;
     std::shared_ptr<const catalog::configuration> config_;
-    const duration queued_; ///< What waited on the link as it was read.
-    const catalog::route* way_ = nullptr;
+    const duration queueing_time_; ///< Of the link, when the request was read.
+    const catalog::route* route_ = nullptr;
     const catalog::team* team_ = nullptr;
     service_id service_;
     const catalog::engine_traits* engine_ = nullptr;
     dispatch::request_mark mark_;
-    std::optional<tokens> set_aside_;
+    std::optional<tokens> reserved_;
     tokens used_;
-    dispatch::course so_far_;
+    dispatch::course state_;
     event_splitter events_;
-    std::vector<catalog::target_process> tried_;
+    std::vector<catalog::target_process> tried_targets_;
     target_id last_target_;
-    bool retry_taken_ = false;     ///< For what follows a silent attempt.
-    bool prompt_was_read_ = false; ///< And a token made of it, perhaps.
+    bool retry_taken_ = false; ///< For the attempt after an idle one.
+    bool prompt_may_have_been_read_ = false; ///< Then it is charged.
     std::optional<instant> last_sent_at_;
 };
 
-duration request_run::whole_time() const
+duration request_run::total_time() const
 {
-    duration out = way_->timeout;
+    duration out = route_->timeout;
     if (request_.facts.patience)
         out = std::min(out, *request_.facts.patience);
-    return dispatch::time_at_node(out, queued_, request_.first_on_connection);
+    return dispatch::time_at_node(out, queueing_time_,
+                                  request_.first_on_connection);
 }
 
 duration request_run::time_left() const
 {
-    return request_.arrived + whole_time() - tables_.now();
+    return request_.arrived + total_time() - tables_.now();
 }
 
-/// A team's own goes before its route's; 0 is the most urgent.
+/// The team's urgency, if set, takes precedence over the route's; 0 is the most
+/// urgent.
 int request_run::urgency() const
 {
-    const int out = team_ && team_->urgency ? *team_->urgency : way_->urgency;
-    return std::clamp(out, 0, least_urgent);
+    const int out = team_ && team_->urgency ? *team_->urgency : route_->urgency;
+    return std::clamp(out, 0, max_urgency_value);
 }
 
-const service_id& request_run::pick_service()
+const service_id& request_run::choose_service()
 {
     double total = 0;
-    for (const auto& it : way_->services)
+    for (const auto& it : route_->services)
         total += it.weight;
     double draw = tables_.random.unit() * total;
-    for (const auto& it : way_->services) {
+    for (const auto& it : route_->services) {
         draw -= it.weight;
         if (draw < 0)
             return it.service;
     }
-    return way_->services.back().service;
+    return route_->services.back().service;
 }
 
 std::optional<refusal> request_run::find_route()
 {
     if (!tables_.ready() && config_ == nullptr)
-        return refusal{503, come_back_at_start, "no configuration yet"};
+        return refusal{503, startup_retry_after, "no configuration yet"};
     if (request_.facts.id.empty())
         return refusal{400, std::nullopt, "no request id"};
     const auto host = request_.fields[http::field::host];
-    way_ = config_->find_route({host.data(), host.size()},
-                               path_only(request_.path));
-    if (way_ == nullptr || way_->services.empty())
+    route_ = config_->find_route({host.data(), host.size()},
+                                 without_query(request_.path));
+    if (route_ == nullptr || route_->services.empty())
         return refusal{404, std::nullopt, "no such route"};
-    if (!way_->is_public && config_->parts().needs_keys) {
+    if (!route_->is_public && config_->parts().needs_keys) {
         team_ = config_->find_team_by_key(request_.facts.key);
         if (team_ == nullptr)
             return refusal{401, std::nullopt, "no valid key"};
@@ -184,34 +187,34 @@
     mark_ = dispatch::mark_of(request_.method, request_.path,
                               team_ ? team_->id : team_id(), request_.body);
     if (tables_.poison.is_poison(mark_, tables_.now()))
-        return refusal{503, come_back_poison, "it kills its targets"};
-    service_ = pick_service();
+        return refusal{503, poison_retry_after, "it kills its targets"};
+    service_ = choose_service();
     const catalog::service* served = config_->find_service(service_);
     if (served != nullptr && served->engine)
         engine_ = &*served->engine;
     return std::nullopt;
 }
 
-/// The most tokens that the request can cost.
-tokens request_run::worst_case() const
+/// Largest number of tokens that the request can cost.
+tokens request_run::max_cost() const
 {
     return request_.facts.prompt_size.value_or(tokens(0)) +
            request_.facts.longest_answer.value_or(tokens(0));
 }
 
-awaitable<std::optional<refusal>> request_run::set_aside_tokens()
+awaitable<std::optional<refusal>> request_run::reserve_tokens()
 {
     if (team_ == nullptr || !team_->prepaid || !request_.facts.prompt_size)
         co_return std::nullopt;
-    const tokens worst = worst_case();
-    const duration wait =
-        std::max(part_of(way_->objective, tables_.options.requests.token_wait),
-                 least_token_wait);
+    const tokens max_tokens = max_cost();
+    const duration wait = std::max(
+        part_of(route_->objective, tables_.options.requests.token_wait),
+        min_token_wait);
     const instant until = tables_.now() + wait;
-    const shortage got =
-        co_await driver_.desk_.acquire(team_->id, worst, urgency(), until);
+    const shortage got = co_await driver_.allocator_.acquire(
+        team_->id, max_tokens, urgency(), until);
     if (got == shortage::none) {
-        set_aside_ = worst;
+        reserved_ = max_tokens;
         co_return std::nullopt;
     }
     if (got == shortage::exceeds_prepaid)
@@ -225,27 +228,29 @@
 
 void request_run::settle()
 {
-    if (!set_aside_)
+    if (!reserved_)
         return;
-    if (prompt_was_read_) {
-        const std::int64_t each = engine_ ? engine_->tokens_per_event : 1;
+    if (prompt_may_have_been_read_) {
+        const std::int64_t tokens_per_event =
+            engine_ ? engine_->tokens_per_event : 1;
         const auto events = static_cast<std::int64_t>(events_.events());
-        // One more than was seen: it may have been on its way.
-        used_ = std::min(*set_aside_, *request_.facts.prompt_size +
-                                          tokens((events + 1) * each));
+        // Charge one event more than was received: it may have been in transit.
+        used_ =
+            std::min(*reserved_, *request_.facts.prompt_size +
+                                     tokens((events + 1) * tokens_per_event));
     }
-    driver_.desk_.settle(team_->id, *set_aside_, used_);
-    set_aside_.reset();
+    driver_.allocator_.settle(team_->id, *reserved_, used_);
+    reserved_.reset();
 }
 
-dispatch::work_wish request_run::wish() const
+dispatch::work_wish request_run::routing_request() const
 {
     dispatch::work_wish out;
     out.service = service_;
     out.on_engine = engine_ != nullptr;
-    out.objective = way_->objective;
-    out.avoid = tried_;
-    out.regions = catalog::regions_for(*way_, team_);
+    out.objective = route_->objective;
+    out.avoid = tried_targets_;
+    out.regions = catalog::regions_for(*route_, team_);
     for (const adapter::prompt_part& it : request_.facts.prompt)
         out.prompt.push_back({it.id, it.size});
     out.prompt_size = static_cast<std::uint32_t>(
@@ -253,7 +258,8 @@
     return out;
 }
 
-adapter::passing_on request_run::order_for(const dispatch::choice& target) const
+adapter::passing_on
+request_run::forwarding_for(const dispatch::choice& target) const
 {
     adapter::passing_on out;
     out.target = target.target;
@@ -267,25 +273,27 @@
     return out;
 }
 
-/// Whether giving up a silent attempt leaves a chance elsewhere.
-bool request_run::another_is_possible() const
+/// Whether another target could serve the request if an idle attempt is
+/// abandoned.
+bool request_run::retry_is_possible() const
 {
-    return way_->repeats == catalog::repeat_rule::idempotent &&
-           so_far_.may_have_run + 1 < way_->max_targets &&
-           tables_.book.count(service_) > tried_.size() + 1;
+    return route_->repeats == catalog::repeat_rule::idempotent &&
+           state_.may_have_run + 1 < route_->max_targets &&
+           tables_.book.count(service_) > tried_targets_.size() + 1;
 }
 
-/// Whether a silent attempt is given up. Failure it guards against: a target
-/// pauses in its stream, the attempt is given up, and only then it shows that
-/// no retry is left or no other target takes the rest: the caller's answer is
-/// cut though its target would have gone on. So what the next attempt needs is
-/// made sure of, and its retry taken, before. An answer that hasn't begun is
-/// another matter: its caller is told at once that it may ask again.
-bool request_run::may_give_up_silent(const dispatch::choice& silent)
+/// Whether to abandon an idle attempt. Failure it guards against: a target
+/// pauses in its stream, the attempt is abandoned, and only then it turns out
+/// that no retry is left or no other target can continue, so the caller's
+/// response is cut off although its target would have resumed. Therefore the
+/// preconditions of the next attempt are checked, and its retry is taken,
+/// first. An attempt whose response has not begun is always abandoned: its
+/// caller can be told at once to retry.
+bool request_run::may_abandon_idle(const dispatch::choice& idle)
 {
     if (!reply_.begun())
         return true;
-    dispatch::course after = so_far_;
+    dispatch::course after = state_;
     ++after.sent;
     ++after.may_have_run;
     after.head_passed_on = true;
@@ -294,8 +302,8 @@
                                             tables_.options.attempts);
     if (step.action != next_action::try_other || !may_send())
         return false;
-    dispatch::work_wish other = wish();
-    other.avoid.push_back(silent.process());
+    dispatch::work_wish other = routing_request();
+    other.avoid.push_back(idle.process());
     const instant now = tables_.now();
     retry_taken_ =
         tables_.book.choose(other, now, tables_.random).has_value() &&
@@ -303,7 +311,8 @@
     return retry_taken_;
 }
 
-/// One of the retries that all nodes share, for the next attempt.
+/// Takes one retry, from the allowance shared by all nodes, for the next
+/// attempt. Returns false if none is left.
 bool request_run::take_retry()
 {
     const bool taken = tables_.retries.take_retry(service_, tables_.now());
@@ -321,43 +330,45 @@
 }
 
 awaitable<attempt_outcome>
-request_run::attempt_at(const dispatch::choice& target)
+request_run::run_attempt_at(const dispatch::choice& target)
 {
-    const bool repeatable = way_->repeats == catalog::repeat_rule::idempotent;
+    const bool repeatable = route_->repeats == catalog::repeat_rule::idempotent;
     attempt_input in{.tables = tables_,
-                     .cancellation = *course_,
+                     .cancellation = *cancellation_,
                      .request = request_,
-                     .route = *way_,
+                     .route = *route_,
                      .target = target,
-                     .forwarding = order_for(target),
+                     .forwarding = forwarding_for(target),
                      .reply = reply_,
                      .events = events_};
-    in.max_idle_time = repeatable ? rest_if_repeatable : rest_if_once;
-    // Where one kept connection had ended, others may have: what is sent once
-    // more goes out on a fresh one.
-    if (so_far_.sent > 0)
+    in.max_idle_time = repeatable ? max_idle_if_repeatable : max_idle_if_once;
+    // If one reused connection had ended, others may have too: send a retry on
+    // a new one.
+    if (state_.sent > 0)
         in.max_idle_time = duration(0);
-    if (another_is_possible()) {
+    if (retry_is_possible()) {
         in.first_byte_timeout = std::max(
-            part_of(way_->objective, tables_.options.requests.patience),
-            least_patience);
-        if (way_->streams)
-            in.progress_timeout = part_of(
-                way_->pause_objective, tables_.options.requests.pause_patience);
+            part_of(route_->objective, tables_.options.requests.patience),
+            min_first_byte_timeout);
+        if (route_->streams)
+            in.progress_timeout =
+                part_of(route_->pause_objective,
+                        tables_.options.requests.pause_patience);
     }
-    const dispatch::work_wish wanted = wish();
+    const dispatch::work_wish wanted = routing_request();
     tables_.book.started(target, wanted, tables_.now());
     retry_taken_ = false;
-    course_->on_idle_timeout([&] { return may_give_up_silent(target); });
+    cancellation_->on_idle_timeout([&] { return may_abandon_idle(target); });
     attempt_outcome got = co_await run_attempt(in);
-    course_->on_idle_timeout(nullptr);
+    cancellation_->on_idle_timeout(nullptr);
     tables_.book.finished(target, got.first_byte, got.evidence, tables_.now());
     co_return got;
 }
 
-/// Whether the target died of the request is found out elsewhere.
-void request_run::suspect(const attempt_outcome& got,
-                          const dispatch::choice& target)
+/// Reports an unfinished attempt to the prober, which finds out whether the
+/// request killed the target.
+void request_run::report_to_prober(const attempt_outcome& got,
+                                   const dispatch::choice& target)
 {
     const bool whole_answer = got.ended == attempt_end::answered ||
                               got.ended == attempt_end::failed_there;
@@ -369,38 +380,39 @@
         driver_.prober_.left_unfinished(target.process(), mark_);
 }
 
-void request_run::note_attempt(const attempt_outcome& got,
-                               const dispatch::choice& target)
+void request_run::record_attempt(const attempt_outcome& got,
+                                 const dispatch::choice& target)
 {
     last_target_ = target.target;
-    const bool unharmed = dispatch::proved_not_run(got.ended);
+    const bool not_run = dispatch::proved_not_run(got.ended);
     if (got.sent_at) {
-        ++so_far_.sent;
+        ++state_.sent;
         last_sent_at_ = got.sent_at;
     }
-    if (got.sent_at && !unharmed) {
-        ++so_far_.may_have_run;
-        prompt_was_read_ |= !got.produced_nothing;
+    if (got.sent_at && !not_run) {
+        ++state_.may_have_run;
+        prompt_may_have_been_read_ |= !got.produced_nothing;
     }
     if (got.ended == attempt_end::rejected)
-        ++so_far_.rejections;
+        ++state_.rejections;
     if (got.ended == attempt_end::not_connected)
-        ++so_far_.failed_connects;
-    suspect(got, target);
-    // A target that ended a kept connection may be about to fall silent, so
-    // another is better; alone in its service it is dialled anew.
+        ++state_.failed_connects;
+    report_to_prober(got, target);
+    // A target that closed a reused connection may be about to become
+    // unresponsive, so another target is preferred. If it is the only
+    // candidate, a new connection to it is opened.
     if (got.stale_connection)
         tables_.pool.close_idle({target.process(), target.address});
     if (!got.stale_connection || target.candidates > 1)
-        tried_.push_back(target.process());
-    so_far_.head_passed_on = reply_.begun();
-    so_far_.part_stands_alone |= got.partial_body_sent;
-    so_far_.time_left = time_left();
+        tried_targets_.push_back(target.process());
+    state_.head_passed_on = reply_.begun();
+    state_.part_stands_alone |= got.partial_body_sent;
+    state_.time_left = time_left();
 }
 
-/// Not while changes of targets are heard of too late, nor when what waits
-/// ahead on the host's link takes all the time left: the target would get the
-/// request after its caller has gone.
+/// Whether an attempt may be sent: not while target updates arrive too late,
+/// and not if the queue on the host's link takes all the time left, since the
+/// target would receive the request after its caller has gone.
 bool request_run::may_send() const
 {
     return !tables_.news_are_late() && time_left() > tables_.queueing();
@@ -410,57 +422,60 @@
 {
     if (!may_send())
         return std::nullopt;
-    return tables_.book.choose(wish(), tables_.now(), tables_.random);
+    return tables_.book.choose(routing_request(), tables_.now(),
+                               tables_.random);
 }
 
-std::string_view request_run::why_no_target() const
+std::string_view request_run::no_target_reason() const
 {
     if (tables_.news_are_late())
         return "news are late";
     if (!may_send())
         return "its link is full";
-    return to_string(tables_.book.why_none(wish(), tables_.now()));
+    return to_string(tables_.book.why_none(routing_request(), tables_.now()));
 }
 
-/// Callers who wait for targets to end their rest come back after its end, and
-/// not all at once.
-duration request_run::when_to_come_back()
+/// Retry-After for a request that did not run. Callers that wait for a target's
+/// backoff should retry after its end, and not all at once.
+duration request_run::retry_after()
 {
-    const auto rest = tables_.book.wait_for_rest(wish(), tables_.now());
+    const auto rest =
+        tables_.book.wait_for_rest(routing_request(), tables_.now());
     if (!rest)
         return default_retry_after;
     const duration spread =
-        std::max(part_of(*rest, come_back_spread), default_retry_after);
+        std::max(part_of(*rest, retry_after_spread), default_retry_after);
     return *rest + part_of(spread, tables_.random.unit());
 }
 
-awaitable<void> request_run::attempt_until_done()
+awaitable<void> request_run::run_attempts()
 {
-    so_far_.way = way_;
-    so_far_.time_left = time_left();
+    state_.way = route_;
+    state_.time_left = time_left();
     tables_.retries.count_request(service_, tables_.now());
     attempt_outcome got;
     got.ended = attempt_end::not_connected;
     for (;;) {
         const auto target = choose_target();
         if (!target) {
-            got.detail = why_no_target();
-            co_await conclude(dispatch::give_up(so_far_, got.ended), got);
+            got.detail = no_target_reason();
+            co_await respond(dispatch::give_up(state_, got.ended), got);
             co_return;
         }
-        got = co_await attempt_at(*target);
-        note_attempt(got, *target);
+        got = co_await run_attempt_at(*target);
+        record_attempt(got, *target);
         const dispatch::next_step step =
-            dispatch::decide_next(so_far_, got.ended, tables_.options.attempts);
+            dispatch::decide_next(state_, got.ended, tables_.options.attempts);
         next_action action = step.action;
-        // For a caller that may have left, nothing is begun; what there is goes
-        // to it, as it may have ended only its sending side.
+        // Start no new attempt for a caller that may have left. What has been
+        // received is still relayed, since the caller may only have shut down
+        // its sending side.
         if (action == next_action::try_other &&
-            course_->stopped() == stop_reason::caller_left)
-            action = dispatch::give_up(so_far_, got.ended);
+            cancellation_->stopped() == stop_reason::caller_left)
+            action = dispatch::give_up(state_, got.ended);
         if (action == next_action::try_other && step.uses_retry &&
             !retry_taken_ && !take_retry())
-            action = dispatch::give_up(so_far_, got.ended);
+            action = dispatch::give_up(state_, got.ended);
         if (got.ended != attempt_end::answered &&
             got.ended != attempt_end::caller_left)
             log_event(event::attempt_ended,
@@ -471,10 +486,10 @@
                        {"detail", got.detail},
                        {"running", std::to_string(target->running)},
                        {"candidates", std::to_string(target->candidates)},
-                       {"left_ms", milliseconds_text(so_far_.time_left)},
+                       {"left_ms", milliseconds_text(state_.time_left)},
                        {"next", std::string(to_string(action))}});
         if (action != next_action::try_other) {
-            co_await conclude(action, got);
+            co_await respond(action, got);
             co_return;
         }
     }
@@ -489,7 +504,7 @@
         {{"id", request_.facts.id},
          {"outcome", std::string(outcome)},
          {"reason", std::string(reason)},
-         {"route", way_ ? way_->id.str() : ""},
+         {"route", route_ ? route_->id.str() : ""},
          {"team", team_ ? team_->id.str() : ""},
          {"target", last_target_.str()},
          {"ms", milliseconds_text(took)},
@@ -497,14 +512,14 @@
                          ? milliseconds_text(*last_sent_at_ - request_.arrived)
                          : ""},
          {"lag_ms", milliseconds_text(tables_.lag.at(tables_.now()))},
-         {"caller_end", disconnect_reason(course_->caller_disconnect())},
-         {"sends", std::to_string(so_far_.sent)},
-         {"may_have_run", std::to_string(so_far_.may_have_run)},
-         {"rejections", std::to_string(so_far_.rejections)},
+         {"caller_end", disconnect_reason(cancellation_->caller_disconnect())},
+         {"sends", std::to_string(state_.sent)},
+         {"may_have_run", std::to_string(state_.may_have_run)},
+         {"rejections", std::to_string(state_.rejections)},
          {"events", std::to_string(events_.events())},
          {"generation", version_text(tables_)},
          {"targets_as_of", std::to_string(tables_.targets.as_of().value())},
-         {"tokens_wanted", std::to_string(worst_case().count())},
+         {"tokens_wanted", std::to_string(max_cost().count())},
          {"tokens_used", std::to_string(used_.count())},
          {"tokens_free",
           team_ ? std::to_string(tables_.purse.free_of(team_->id).count())
@@ -528,8 +543,8 @@
     (void)co_await reply_.send_local(answer);
 }
 
-awaitable<void> request_run::conclude(next_action action,
-                                      const attempt_outcome& last)
+awaitable<void> request_run::respond(next_action action,
+                                     const attempt_outcome& last)
 {
     settle();
     const std::string ended(to_string(last.ended));
@@ -548,9 +563,9 @@
         co_return;
     case next_action::say_not_run:
         answer.status = 503;
-        answer.retry_after = when_to_come_back();
-        answer.message = "not run: " + reason_of(last);
-        log_end(event::request_refused, "not_run", reason_of(last));
+        answer.retry_after = retry_after();
+        answer.message = "not run: " + outcome_reason(last);
+        log_end(event::request_refused, "not_run", outcome_reason(last));
         break;
     case next_action::say_late:
         answer.status = 504;
@@ -577,29 +592,30 @@
         co_await refuse(*refused);
         co_return;
     }
-    course_->set_deadline(request_.arrived + whole_time() + last_word);
-    refused = co_await set_aside_tokens();
+    cancellation_->set_deadline(request_.arrived + total_time() +
+                                deadline_response_grace);
+    refused = co_await reserve_tokens();
     if (refused) {
         co_await refuse(*refused);
         co_return;
     }
-    if (course_->stopped() == stop_reason::caller_left) {
+    if (cancellation_->stopped() == stop_reason::caller_left) {
         settle();
         log_end(event::caller_left, "caller_left", "before any attempt");
         co_return;
     }
-    co_await attempt_until_done();
+    co_await run_attempts();
 }
 
-request_driver::request_driver(node_tables& tables, token_allocator& desk)
-    : tables_(tables), desk_(desk), prober_(tables)
+request_driver::request_driver(node_tables& tables, token_allocator& allocator)
+    : tables_(tables), allocator_(allocator), prober_(tables)
 {}
 
 awaitable<void> request_driver::serve(const caller_request& request,
                                       response_writer& reply,
-                                      request_cancellation_ptr course)
+                                      request_cancellation_ptr cancellation)
 {
-    request_run run(*this, request, reply, std::move(course));
+    request_run run(*this, request, reply, std::move(cancellation));
     co_await run.run();
 }
 
