--- a/include/fennelladder/edge/stock_refiller.hpp
+++ b/include/fennelladder/edge/stock_refiller.hpp
@@ -1,22 +1,24 @@
-// Keeps the fleet's stock of prepaid tokens filled up from the platform's
-// record of allotments.
+// Refills the fleet's stock of prepaid tokens from the allotment record that
+// the platform stores.
 //
-//     stock_refiller keeper(tables, client, peers, hooks);
-//     keeper.start();
-//     if (const auto* writer = keeper.remote_writer())
-//         ... ask it, as any peer ...
+//     stock_refiller refiller(tables, client, peers, hooks);
+//     refiller.start();
+//     if (const auto* writer = refiller.remote_writer())
+//         ... send it a token request, as to any peer ...
 //     else
-//         keeper.request_tokens(team, missing, urgency);
+//         refiller.request_tokens(team, missing, background);
 //
 // One node of the fleet writes the record: the first by rank among those that
-// reach the platform. It takes out what the stockists of each team ask it for,
-// and what requests wait for anywhere, in one write for all teams. When every
-// stockist wrote for itself, seven writes in ten lost against another.
+// reach the platform. In one write for all teams it withdraws what the stock
+// holders of each team request and what requests anywhere are waiting for. When
+// every stock holder wrote for itself, seven writes in ten failed on a
+// conflict.
 //
-// Where this node writes is decided anew at each look, from what it has heard:
-// two nodes that both take themselves for the writer disturb each other and
-// do no harm, since the record's condition decides. A stockist that gets no
-// answer from the writer writes for itself for a while.
+// Each periodic check decides anew whether this node writes, from its current
+// membership view. Two nodes that both act as the writer conflict with each
+// other but do no harm, since writes are conditional on the record's revision.
+// A stock holder that gets no answer from the writer writes for itself for a
+// while.
 //
 // Not thread safe.
 
@@ -35,112 +37,113 @@
 
 namespace fennelladder::edge {
 
+/// Withdraws tokens for the stock, or requests them from the writing node.
 class stock_refiller
 {
 public:
-    /// What the keeper has its owner do.
+    /// Callbacks into the owner.
     struct hooks
     {
-        /// Tokens were credited to the purse.
-        std::function<void()> credited;
-        /// What was wanted up to `begun` has been taken out as far as it can
-        /// be for now.
-        std::function<void(instant begun)> round_over;
-        /// Ask another node for stock.
+        /// Tokens were credited to the balance.
+        std::function<void()> on_credited;
+        /// A round of writes ended: what was requested up to `begun` has been
+        /// withdrawn as far as possible for now.
+        std::function<void(instant begun)> on_round_done;
+        /// Sends a token request for stock to the writer.
         std::function<void(const host_id& writer, const team_id& team,
                            tokens amount)>
-            ask;
+            request_tokens;
     };
 
     stock_refiller(node_tables& tables, platform_client& client,
                    const mesh::stock_book& peers, hooks hooks);
 
-    /// Begins to look after the stock.
+    /// Starts the periodic checks of the stock.
     void start();
 
-    /// The node that takes tokens out for this one; nullptr if this one does
-    /// it itself.
+    /// The node that withdraws tokens for this one; nullptr if this node writes
+    /// the record itself.
     const mesh::node_row* remote_writer() const;
 
-    /// Asks for `missing` tokens out of the record. Unless `patient`, a request
-    /// waits for them. The number of the round that takes them out.
-    /// Precondition: this node writes.
+    /// Requests `missing` tokens from the record. Unless `background`, a
+    /// request is waiting for them and the withdrawal starts soon. Returns the
+    /// number of the round that withdraws them. Precondition: this node writes.
     std::uint64_t request_tokens(const team_id& team, tokens missing,
-                                 bool patient);
+                                 bool background);
 
-    /// Whether that round is over, or this node doesn't write any more.
+    /// Whether that round has ended, or this node no longer writes.
     bool is_round_done(std::uint64_t round) const;
 
-    /// Whether a write by this node could bring tokens of the team.
+    /// Whether a write by this node could withdraw tokens of the team.
     bool can_withdraw(const team_id& team) const;
 
-    /// The writer doesn't answer: for a while this node writes for itself, if
-    /// it is a stockist at all.
+    /// Call when the writer does not answer: for a while this node writes for
+    /// itself, if it is a stock holder.
     void on_writer_timeout();
 
-    /// What the record has handed out of the team, as far as it is known.
+    /// Tokens allotted to the team so far, as far as known; unset if unknown.
     std::optional<tokens> allotted_of(const team_id& team) const;
 
-    /// The same, learned from another node. It only grows.
+    /// Raises the known allotted amount to a value from another node. Smaller
+    /// values are ignored, since the amount only grows.
     void raise_allotted(const team_id& team, tokens allotted);
 
-    /// What the record has left of the team, as far as it is known.
+    /// Tokens of the team that remain in the record, as far as known.
     tokens left_of(const team_id& team) const;
 
-    /// Whether the platform was reached at the last look by the node that
-    /// writes.
-    bool reaches_platform() const { return reached_; }
+    /// Whether the writing node could reach the platform at the last check.
+    bool reaches_platform() const { return platform_reached_; }
 
-    /// Whether no tokens of the team come: the platform is away, or its record
-    /// has nothing left.
+    /// Whether no more tokens of the team can be withdrawn: the platform is
+    /// unreachable, or its record has none left.
     bool is_scarce(const team_id& team) const
     {
-        return !reached_ || left_of(team) <= tokens(0);
+        return !platform_reached_ || left_of(team) <= tokens(0);
     }
 
-    /// The team's stockists, the first by rank first.
+    /// The team's stock holders, in rank order.
     std::vector<host_id> stock_holders(const team_id& team) const;
 
 private:
-    struct wanted_tokens
+    struct requested_tokens
     {
         tokens amount;
         bool urgent = false;
     };
 
-    /// Looks at the stock now, in place of at the next period.
-    void look_soon() { wake_.cancel(); }
+    /// Checks the stock now instead of at the next period.
+    void wake() { wake_.cancel(); }
 
-    awaitable<void> keep();
-    awaitable<bool> tend();
+    awaitable<void> run();
+    awaitable<bool> run_once();
     awaitable<bool> write_round();
     void end_round(instant begun);
-    void give_up_round();
-    void ask_writer(const host_id& writer);
-    void take(const prepaid::token_amounts& granted);
-    prepaid::token_amounts wishes() const;
+    void abandon_round();
+    void request_refill(const host_id& writer);
+    void credit(const prepaid::token_amounts& granted);
+    prepaid::token_amounts withdrawals() const;
     prepaid::stock_state state_of(const team_id& team, tokens total,
                                   const std::vector<host_id>& holders) const;
     std::vector<host_id> holders() const;
     bool is_stock_holder() const;
     bool has_urgent() const;
-    void note_reach();
+    void update_reachability();
 
     node_tables& tables_;
     const mesh::stock_book& peers_;
     hooks hooks_;
     allotment_writer writer_;
     asio::steady_timer wake_;
-    std::map<team_id, wanted_tokens> wanted_;
+    std::map<team_id, requested_tokens> requested_;
     std::uint64_t rounds_begun_ = 0; ///< Rounds of writes.
-    std::uint64_t rounds_over_ = 0;
+    std::uint64_t rounds_done_ = 0;
     std::map<team_id, tokens> allotted_;
-    std::map<team_id, instant> asked_at_; ///< The writer, for stock.
+    std::map<team_id, instant> requested_at_; ///< Last refill request.
     instant last_write_;
-    instant alone_until_;
-    bool reached_ = true;
+    instant self_write_until_;
+    bool platform_reached_ = true;
     prepaid::outage_memory outages_;
-    int failures_ = 0; ///< Failed calls in a row.
+    int failures_ = 0; ///< Consecutive failed calls.
 };
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/token_allocator.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -1,18 +1,19 @@
-// Gets a node the prepaid tokens that its requests need: from its purse, from
-// other nodes, and from the platform's record.
+// Gets the prepaid tokens that a node's requests need: from its own balance,
+// from other nodes, and from the platform's allotment record.
 //
-//     if (!co_await desk.acquire(team, worst, urgency, until))
-//         ... refuse: not run, come back ...
-//     desk.settle(team, worst, used);
+//     if (co_await allocator.acquire(team, max_cost, urgency, until) !=
+//         shortage::none)
+//         ... refuse: not run, retry later ...
+//     allocator.settle(team, max_cost, used);
 //
-// The purse is tried first, without a message. Then the node with the largest
-// stock that is known is asked, and the next, and at last the one that writes
-// the record (edge/stock_refiller.hpp), which answers when it has taken out
-// what is missing.
+// The node's own balance is tried first, without a message. Then token requests
+// go to the node with the largest known balance, to the next one, and at last
+// to the node that writes the record (edge/stock_refiller.hpp), which answers
+// once it has withdrawn what is missing.
 //
-// What is credited was deducted elsewhere before: by a conditional write that
-// is proved to have taken effect, or by a peer that answers each number once.
-// A lost message strands tokens and never makes any.
+// Tokens are credited only after they were deducted elsewhere: by a conditional
+// write that is proven to have taken effect, or by a peer that deducts once per
+// transfer number. A lost message strands tokens and never creates any.
 //
 // Not thread safe.
 
@@ -33,15 +34,15 @@
 
 namespace fennelladder::edge {
 
-/// Why tokens were not to be had.
+/// Why tokens could not be acquired.
 enum class shortage : std::uint8_t
 {
     none,
-    /// The team's whole prepaid amount doesn't cover the request.
+    /// The request may cost more than the team's whole prepaid amount.
     exceeds_prepaid,
-    /// Not here, but the record has some and the platform answers: soon.
+    /// None available, but the record has some and the platform is reachable.
     temporary,
-    /// Not here, and nobody knows when.
+    /// None available, and none expected for an unknown time.
     indefinite
 };
 
@@ -54,39 +55,41 @@
 
     token_allocator(node_tables& tables, platform_client& client, sender send);
 
-    /// Starts taking tokens out of the record as needed.
+    /// Starts withdrawing tokens from the record as needed.
     void start();
 
-    /// Sets aside the most a request can cost, waiting until `until` at most.
-    /// `urgency`: 0 is the most urgent; while no tokens come, those that more
-    /// urgent requests will want are kept back.
+    /// Reserves `amount`, the largest cost of a request; waits until `until` at
+    /// most. `urgency` 0 is the most urgent: while no more tokens can be
+    /// withdrawn, those that more urgent requests will need are kept back.
     awaitable<shortage> acquire(const team_id& team, tokens amount, int urgency,
                                 instant until);
 
-    /// The request is over and cost `used`.
+    /// Ends a reservation of which the request used `used` tokens.
     void settle(const team_id& team, tokens reserved, tokens used);
 
-    /// Messages of other nodes.
-    void on_token_request(const mesh::token_ask& ask, const std::string& from);
-    void on_token_grant(const mesh::token_give& give);
-    void on_token_push(const mesh::token_gift& gift, const std::string& from);
+    /// Handle messages of other nodes. `from` is the sender's address.
+    void on_token_request(const mesh::token_ask& request,
+                          const std::string& from);
+    void on_token_grant(const mesh::token_give& grant);
+    void on_token_push(const mesh::token_gift& push, const std::string& from);
     void on_push_acknowledged(const mesh::token_gift_taken& taken);
 
-    /// What another node says it holds.
+    /// Records the balances that another node reports.
     void on_heartbeat(const mesh::beacon& from);
 
-    /// The host's process ended without handing its tokens on.
+    /// The host's process died without transferring its tokens.
     void on_node_death(const host_id& host);
 
-    /// What to say of this node's stock.
+    /// The balances that this node reports to others.
     std::vector<mesh::token_stock> local_stock() const;
 
-    /// Hands all free tokens to other nodes; done when confirmed, or after
-    /// `limit`.
+    /// Pushes all free tokens to other nodes. Completes when every push is
+    /// acknowledged, or after `limit`.
     awaitable<void> push_all(duration limit);
 
 private:
-    struct asked
+    /// A token request that was sent and not answered yet.
+    struct outstanding_request
     {
         team_id team;
         host_id peer;
@@ -94,17 +97,18 @@
         bool patient = false;
     };
 
-    /// A question that is answered when tokens have been taken out for it.
-    struct pending_ask
+    /// A peer's token request that is answered after tokens were withdrawn for
+    /// it.
+    struct pending_request
     {
-        mesh::token_ask ask;
+        mesh::token_ask request;
         std::string from;
         instant at;
     };
 
-    /// A question for tokens out of the record: the number of one that went to
-    /// another node, or the round of writes that takes it up here.
-    struct record_question
+    /// A request for tokens from the record: its transfer number if it was sent
+    /// to another node, or the round of writes that serves it on this node.
+    struct record_request
     {
         std::optional<mesh::transfer_number> number;
         std::optional<std::uint64_t> round;
@@ -116,44 +120,46 @@
     using transfer_key = std::pair<mesh::node_life, mesh::transfer_number>;
 
     awaitable<void> wait_for_change(instant until);
-    awaitable<void> repeat_gift(mesh::token_gift gift, std::string to,
+    awaitable<void> repeat_push(mesh::token_gift push, std::string to,
                                 instant until);
-    record_question ask_for_more(const team_id& team, tokens missing,
-                                 int urgency);
-    bool is_over(const record_question& question) const;
-    bool is_hopeless(const team_id& team, tokens missing) const;
+    record_request request_from_record(const team_id& team, tokens missing,
+                                       int urgency);
+    bool is_done(const record_request& pending) const;
+    bool cannot_be_withdrawn(const team_id& team, tokens missing) const;
     tokens missing_of(const team_id& team, tokens amount, int urgency) const;
-    tokens wanted_beyond(const team_id& team) const;
-    mesh::transfer_number ask(const host_id& peer, mesh::token_ask what);
+    tokens extra_request(const team_id& team) const;
+    mesh::transfer_number send_request(const host_id& peer,
+                                       mesh::token_ask what);
     bool reserve(const team_id& team, tokens amount, int urgency);
-    tokens kept_back(const team_id& team, int urgency) const;
-    tokens debit(const mesh::token_ask& ask);
-    void give(const mesh::token_ask& ask, const std::string& from,
-              tokens amount);
+    tokens reserved_for_urgent(const team_id& team, int urgency) const;
+    tokens debit(const mesh::token_ask& request);
+    void send_grant(const mesh::token_ask& request, const std::string& from,
+                    tokens amount);
     void answer_pending(instant begun);
-    std::optional<host_id> best_peer(const team_id& team,
-                                     const std::set<host_id>& tried) const;
+    std::optional<host_id> choose_peer(const team_id& team,
+                                       const std::set<host_id>& tried) const;
     shortage shortage_of(const team_id& team) const;
     std::string address_of(const host_id& host) const;
-    void note_silent_writer();
-    void forget_old();
-    void changed();
+    void check_writer_timeout();
+    void forget_expired();
+    void wake_waiters();
 
     node_tables& tables_;
     sender send_;
     mesh::stock_book peers_;
-    prepaid::ration shares_;
-    stock_refiller keeper_;
-    std::vector<std::weak_ptr<asio::steady_timer>> waiting_;
-    /// Shared with the requests that wait, which may outlive the desk.
+    prepaid::ration ration_;
+    stock_refiller refiller_;
+    std::vector<std::weak_ptr<asio::steady_timer>> waiters_;
+    /// Shared with waiting requests, which may outlive the allocator.
     std::shared_ptr<waiting_counts> waiting_by_team_ =
         std::make_shared<waiting_counts>();
-    std::map<mesh::transfer_number, asked> asked_;
-    std::map<host_id, instant> answered_by_; ///< When a node last answered.
-    std::vector<pending_ask> pending_;
-    std::map<transfer_key, std::pair<mesh::token_give, instant>> answered_;
-    std::map<transfer_key, instant> gifts_taken_;
-    std::map<mesh::transfer_number, mesh::token_gift> gifts_;
+    std::map<mesh::transfer_number, outstanding_request> outstanding_;
+    std::map<host_id, instant>
+        last_grant_from_; ///< Time of each peer's last grant.
+    std::vector<pending_request> pending_;
+    std::map<transfer_key, std::pair<mesh::token_give, instant>> grants_sent_;
+    std::map<transfer_key, instant> pushes_received_;
+    std::map<mesh::transfer_number, mesh::token_gift> pushes_;
     mesh::transfer_number last_number_;
 };
 
--- a/libs/edge/stall_test.cpp
+++ b/libs/edge/stall_test.cpp
@@ -1,5 +1,5 @@
-// The node's loop stands still for longer than a silence may last: a megabyte
-// is parsed on an eighth of a core, or a machine gets no share of its own.
+// The node's event loop stalls for longer than a timeout: a megabyte is parsed
+// on an eighth of a core, or the machine gets no processor time.
 
 #include "fennelladder/edge/peer_stream.hpp"
 #include "fennelladder/edge/target_connection.hpp"
@@ -14,15 +14,15 @@
 
 namespace {
 
-/// Above every limit on silence that is tested here.
+/// Above every timeout that is tested here.
 constexpr duration stall = milliseconds(800);
 
-constexpr std::size_t largest = 1'000'000;
+constexpr std::size_t max_size = 1'000'000;
 
-class world
+class connected_sockets
 {
 public:
-    world()
+    connected_sockets()
         : acceptor(io, tcp::endpoint(asio::ip::make_address("127.0.0.1"), 0)),
           near_end(std::make_shared<tcp::socket>(io)), far_end(io)
     {}
@@ -38,7 +38,7 @@
         return "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port());
     }
 
-    /// Runs until `done`; false if it isn't within `limit`.
+    /// Runs until `done`. Returns false if that takes longer than `limit`.
     bool run_until(const std::function<bool()>& done, duration limit)
     {
         const auto end = std::chrono::steady_clock::now() + limit;
@@ -64,12 +64,12 @@
 
 TEST_GROUP(stall){};
 
-// Story: a node parsed a configuration for 0.8 s. When it came back, bytes of
-// a transfer and the expired limit on silence waited in one round; the bytes
-// were read, and then the transfer was closed and begun anew.
-TEST(stall, a_transfer_that_moves_outlives_it)
+// A node parses a configuration for 0.8 s. Afterwards bytes of a transfer and
+// its expired idle timer are ready in one round. The bytes were read, and then
+// the transfer was closed and had to start over.
+TEST(stall, a_transfer_with_progress_survives)
 {
-    world all;
+    connected_sockets all;
     all.connect_ends();
     peer_stream stream(all.near_end);
     const std::string message(20'000, 'x');
@@ -77,7 +77,7 @@
     std::string out;
     std::optional<bool> read;
     const auto receive = [&]() -> awaitable<void> {
-        const bool whole = co_await stream.read(out, largest);
+        const bool whole = co_await stream.read(out, max_size);
         read = whole;
     };
     spawn(all.io, receive());
@@ -96,15 +96,15 @@
     CHECK(out == message);
 }
 
-TEST(stall, a_transfer_that_is_silent_still_ends)
+TEST(stall, an_idle_transfer_still_ends)
 {
-    world all;
+    connected_sockets all;
     all.connect_ends();
     peer_stream stream(all.near_end);
     std::string out;
     std::optional<bool> read;
     const auto receive = [&]() -> awaitable<void> {
-        const bool whole = co_await stream.read(out, largest);
+        const bool whole = co_await stream.read(out, max_size);
         read = whole;
     };
     spawn(all.io, receive());
@@ -116,13 +116,13 @@
     CHECK(!*read);
 }
 
-// Story: a sound target took a connection up at once, while the node stood
-// still for longer than connecting may take. The connection was handed out and
-// closed in the same round, or the target was called unreachable.
-TEST(stall, a_target_that_took_the_connection_up_is_reached)
+// A healthy target accepts a connection at once, while the node is stalled for
+// longer than the connect timeout. The connection was returned and closed in
+// the same round, or the target was reported as unreachable.
+TEST(stall, a_target_that_accepted_the_connection_is_reached)
 {
     constexpr duration limit = milliseconds(350);
-    world all;
+    connected_sockets all;
     connection_pool pool(all.io, {});
     const connection_ptr made =
         pool.make({{target_id("i-1"), {}}, all.address()});
--- a/libs/edge/stock_refiller.cpp
+++ b/libs/edge/stock_refiller.cpp
@@ -6,25 +6,26 @@
 
 namespace {
 
-/// Between two looks at the stock.
-constexpr duration look_period = milliseconds(250);
+/// Interval between checks of the stock.
+constexpr duration check_period = milliseconds(250);
 
-/// Retry after a failed call, doubled up to the longest.
-constexpr duration first_pause = milliseconds(200);
-constexpr duration longest_pause = seconds(2);
+/// Backoff after a failed call, doubled up to the maximum.
+constexpr duration first_backoff = milliseconds(200);
+constexpr duration max_backoff = seconds(2);
 
-/// Failures in a row that still lengthen the pause.
-constexpr int most_failures = 8;
+/// Consecutive failures beyond this number do not lengthen the backoff.
+constexpr int max_counted_failures = 8;
 
-/// A record without anything left is read again after this long: others may
-/// have been more modest than was thought, and a top-up shows by itself.
-constexpr duration empty_record_age = seconds(5);
+/// A record that has nothing left is read again after this time: other nodes
+/// may have withdrawn less than was assumed. A top-up is noticed without a
+/// read, from the configuration.
+constexpr duration max_empty_record_age = seconds(5);
 
-/// How long a stockist writes for itself when the writer doesn't answer: by
-/// then the writer is heard again or taken for dead.
-constexpr duration alone_span = seconds(3);
+/// How long a stock holder writes for itself when the writer does not answer.
+/// By then the writer has been heard again or is considered dead.
+constexpr duration self_write_time = seconds(3);
 
-/// Salt of the rank of those that may write.
+/// Salt of the ranking of nodes that may write the record.
 constexpr const char* writer_salt = "allotments";
 
 } // namespace
@@ -32,21 +33,22 @@
 stock_refiller::stock_refiller(node_tables& tables, platform_client& client,
                                const mesh::stock_book& peers, hooks hooks)
     : tables_(tables), peers_(peers), hooks_(std::move(hooks)),
-      writer_(tables, client,
-              [this](const prepaid::token_amounts& granted) { take(granted); }),
+      writer_(
+          tables, client,
+          [this](const prepaid::token_amounts& granted) { credit(granted); }),
       wake_(tables.io)
 {}
 
 void stock_refiller::start()
 {
-    spawn(tables_.io, keep());
+    spawn(tables_.io, run());
 }
 
-// Who writes.
+// Selection of the writer.
 
 const mesh::node_row* stock_refiller::remote_writer() const
 {
-    if (tables_.now() < alone_until_ && is_stock_holder())
+    if (tables_.now() < self_write_until_ && is_stock_holder())
         return nullptr;
     return tables_.nodes.leader(writer_salt, tables_.contact.reached,
                                 tables_.capacity(), tables_.now());
@@ -54,16 +56,16 @@
 
 void stock_refiller::on_writer_timeout()
 {
-    alone_until_ = tables_.now() + alone_span;
-    look_soon();
+    self_write_until_ = tables_.now() + self_write_time;
+    wake();
 }
 
-void stock_refiller::note_reach()
+void stock_refiller::update_reachability()
 {
     const mesh::node_row* other = remote_writer();
-    reached_ = other != nullptr ? other->last.platform_reached
-                                : tables_.contact.reached;
-    outages_.note(reached_, tables_.now());
+    platform_reached_ = other != nullptr ? other->last.platform_reached
+                                         : tables_.contact.reached;
+    outages_.note(platform_reached_, tables_.now());
 }
 
 std::vector<host_id> stock_refiller::holders() const
@@ -89,7 +91,7 @@
     return std::ranges::find(all, tables_.settings.host) != all.end();
 }
 
-// What is left.
+// Remaining tokens.
 
 std::optional<tokens> stock_refiller::allotted_of(const team_id& team) const
 {
@@ -113,7 +115,7 @@
 
 tokens stock_refiller::left_of(const team_id& team) const
 {
-    // Peers may ask a node that has just started.
+    // Peers may send requests to a node that has just started.
     if (tables_.config == nullptr)
         return tokens(0);
     const auto* payer = tables_.config->find_team(team);
@@ -129,42 +131,43 @@
            left_of(team) > tokens(0);
 }
 
-// What to take.
+// Withdrawals.
 
 std::uint64_t stock_refiller::request_tokens(const team_id& team,
-                                             tokens missing, bool patient)
+                                             tokens missing, bool background)
 {
-    wanted_tokens& it = wanted_[team];
+    requested_tokens& it = requested_[team];
     it.amount += missing;
-    it.urgent |= !patient;
-    if (!patient)
-        look_soon();
+    it.urgent |= !background;
+    if (!background)
+        wake();
     return rounds_begun_ + 1;
 }
 
 bool stock_refiller::is_round_done(std::uint64_t round) const
 {
-    return rounds_over_ >= round || remote_writer() != nullptr;
+    return rounds_done_ >= round || remote_writer() != nullptr;
 }
 
-/// Nothing can be taken out now, so nobody should wait for it.
-void stock_refiller::give_up_round()
+/// Ends the round without a write: nothing can be withdrawn now, so no request
+/// should wait for it.
+void stock_refiller::abandon_round()
 {
-    wanted_.clear();
+    requested_.clear();
     ++rounds_begun_;
     end_round(tables_.now());
 }
 
-/// Whoever wanted something before `begun` has got what there was.
+/// Ends a round. Requests made before `begun` have received what was available.
 void stock_refiller::end_round(instant begun)
 {
-    rounds_over_ = rounds_begun_;
-    hooks_.round_over(begun);
+    rounds_done_ = rounds_begun_;
+    hooks_.on_round_done(begun);
 }
 
 bool stock_refiller::has_urgent() const
 {
-    return std::ranges::any_of(wanted_,
+    return std::ranges::any_of(requested_,
                                [](const auto& it) { return it.second.urgent; });
 }
 
@@ -188,13 +191,13 @@
     out.stocked = others.free_of_some + (out.stockist ? own : tokens(0));
     out.fleet_spending = tables_.purse.spending(team, now) +
                          static_cast<double>(others.spent_per_second.count());
-    const auto wanted = wanted_.find(team);
-    if (wanted != wanted_.end())
-        out.waited_for = wanted->second.amount;
+    const auto requested = requested_.find(team);
+    if (requested != requested_.end())
+        out.waited_for = requested->second.amount;
     return out;
 }
 
-prepaid::token_amounts stock_refiller::wishes() const
+prepaid::token_amounts stock_refiller::withdrawals() const
 {
     prepaid::token_amounts out;
     const auto all = holders();
@@ -207,27 +210,27 @@
     return out;
 }
 
-void stock_refiller::take(const prepaid::token_amounts& granted)
+void stock_refiller::credit(const prepaid::token_amounts& granted)
 {
     for (const auto& [team, amount] : granted)
         tables_.purse.credit(team, amount);
-    hooks_.credited();
+    hooks_.on_credited();
 }
 
-/// Has the writer fill up what this node is to hold. Each team is asked for
-/// once in the time of a regular write. Most nodes of a large fleet hold no
-/// stock; to them a look over all teams and nodes says nothing.
-void stock_refiller::ask_writer(const host_id& writer)
+/// Requests from the writer what this node should hold in stock, for each team
+/// at most once per regular write interval. Most nodes of a large fleet hold no
+/// stock, and skip the computation over all teams and nodes.
+void stock_refiller::request_refill(const host_id& writer)
 {
     if (!is_stock_holder())
         return;
     const instant now = tables_.now();
-    for (const auto& [team, wish] : wishes()) {
-        instant& last = asked_at_[team];
+    for (const auto& [team, wish] : withdrawals()) {
+        instant& last = requested_at_[team];
         if (now - last < tables_.options.stock.write_pause)
             continue;
         last = now;
-        hooks_.ask(writer, team, wish);
+        hooks_.request_tokens(writer, team, wish);
     }
 }
 
@@ -238,13 +241,13 @@
     if (!has_urgent() && rested < options.write_pause)
         co_return true;
     if (rested < options.urgent_pause) {
-        // What others come to want meanwhile goes into the same write.
+        // Amounts that are requested meanwhile go into the same write.
         asio::steady_timer timer(tables_.io);
         co_await sleep_on(timer, options.urgent_pause - rested);
     }
     const instant begun = tables_.now();
-    const auto amounts = wishes();
-    wanted_.clear();
+    const auto amounts = withdrawals();
+    requested_.clear();
     ++rounds_begun_;
     bool written = true;
     if (!amounts.empty()) {
@@ -255,44 +258,45 @@
     co_return written;
 }
 
-/// One look at the stock. False when a call to the platform failed.
-awaitable<bool> stock_refiller::tend()
+/// Checks the stock once. Returns false if a call to the platform failed.
+awaitable<bool> stock_refiller::run_once()
 {
     const mesh::node_row* other = remote_writer();
     if (other != nullptr && !writer_.in_doubt()) {
-        give_up_round();
-        ask_writer(other->last.host);
+        abandon_round();
+        request_refill(other->last.host);
         co_return true;
     }
-    // A record without anything left may have become better than it looks.
-    const duration most_age =
-        wanted_.empty() ? duration::max() : empty_record_age;
-    const bool known = co_await writer_.refresh(most_age);
+    // Another node may have withdrawn less than assumed, so a record with
+    // nothing left is read again while tokens are requested.
+    const duration max_age =
+        requested_.empty() ? duration::max() : max_empty_record_age;
+    const bool known = co_await writer_.refresh(max_age);
     if (!known) {
-        give_up_round();
+        abandon_round();
         co_return false;
     }
     const bool written = co_await write_round();
     co_return written;
 }
 
-awaitable<void> stock_refiller::keep()
+awaitable<void> stock_refiller::run()
 {
     instant not_before;
     for (;;) {
-        co_await sleep_on(wake_, look_period);
-        note_reach();
+        co_await sleep_on(wake_, check_period);
+        update_reachability();
         const bool idle = tables_.config == nullptr || tables_.leaving ||
                           tables_.now() < not_before;
         if (idle) {
-            give_up_round();
+            abandon_round();
             continue;
         }
-        const bool fine = co_await tend();
-        failures_ = fine ? 0 : std::min(failures_ + 1, most_failures);
+        const bool fine = co_await run_once();
+        failures_ = fine ? 0 : std::min(failures_ + 1, max_counted_failures);
         if (!fine)
             not_before = tables_.now() + backoff(tables_.random, failures_,
-                                                 first_pause, longest_pause);
+                                                 first_backoff, max_backoff);
     }
 }
 
--- a/libs/edge/token_allocator.cpp
+++ b/libs/edge/token_allocator.cpp
@@ -1,6 +1,7 @@
-// A transfer is credited once for its number; its giver deducts once for the
-// number and repeats the answer as often as it is asked. So whatever is lost,
-// repeated or late, no tokens come into being.
+// The receiver of a transfer credits each transfer number once. The sender
+// deducts once per number and repeats the same grant if the request is
+// repeated. So no tokens are created by messages that are lost, duplicated or
+// delayed.
 
 #include "fennelladder/edge/token_allocator.hpp"
 
@@ -16,33 +17,37 @@
 using telemetry::log_event;
 namespace event = telemetry::event;
 
-/// A peer in the fleet answers in a few milliseconds; then the next is asked.
-constexpr duration peer_patience = milliseconds(15);
+/// Peers in the fleet answer in a few milliseconds. After this time the request
+/// goes to the next one.
+constexpr duration peer_timeout = milliseconds(15);
 
-/// A write to the record takes some ten milliseconds.
-constexpr duration record_patience = milliseconds(30);
+/// Wait for tokens from the record. A write to it takes about ten milliseconds.
+constexpr duration record_timeout = milliseconds(30);
 
-/// What a request asks of the record in all: by its first question it may get
-/// less than it needs, since others wait as well. A limit, because each end of
-/// a round of writes wakes those that wait, and a question begins a round.
-constexpr int most_questions = 3;
+/// Maximum requests to the record for one acquire(). The first may yield less
+/// than needed, since others are waiting as well. The number is limited because
+/// the end of each round of writes wakes all waiters, and each request starts a
+/// round.
+constexpr int max_record_requests = 3;
 
-/// Numbers of transfers are remembered for longer than any datagram lives.
-constexpr duration transfer_memory = seconds(30);
+/// How long transfer numbers are kept: longer than any datagram can be delayed.
+constexpr duration transfer_retention = seconds(30);
 
-/// The writer answers a request's question within two writes, and one for
-/// stock after its next regular write, unless it is dead or cut off.
-constexpr duration writer_patience = milliseconds(500);
-constexpr duration writer_stock_patience = milliseconds(2500);
+/// The writer answers a token request for a waiting request within two writes,
+/// and one for stock after its next regular write, unless it is dead or
+/// unreachable.
+constexpr duration writer_timeout = milliseconds(500);
+constexpr duration writer_stock_timeout = milliseconds(2500);
 
-constexpr duration gift_repeat = milliseconds(60);
+constexpr duration push_repeat_interval = milliseconds(60);
 
 } // namespace
 
-/// Counts a request as waiting for as long as it lives. It shares the counts:
-/// requests that still wait as a node ends are destroyed with the io_context
-/// that holds their coroutines, after the desk. Counts of the desk's own would
-/// be gone by then, and taking a request out of them frees them twice.
+/// Counts a request as waiting during its lifetime. It shares ownership of the
+/// counts: requests that are still waiting when a node ends are destroyed with
+/// the io_context that holds their coroutines, after the allocator. Counts
+/// owned by the allocator would be gone by then, and the access would free them
+/// twice.
 class token_allocator::waiting_request
 {
 public:
@@ -69,34 +74,35 @@
 
 token_allocator::token_allocator(node_tables& tables, platform_client& client,
                                  sender send)
-    : tables_(tables), send_(std::move(send)), shares_(tables.options.ration),
-      keeper_(tables, client, peers_,
-              {.credited = [this] { answer_pending(instant()); },
-               .round_over =
-                   [this](instant begun) {
-                       answer_pending(begun);
-                       note_silent_writer();
-                       forget_old();
-                   },
-               .ask =
-                   [this](const host_id& writer, const team_id& team,
-                          tokens amount) {
-                       ask(writer,
-                           {.team = team, .wanted = amount, .patient = true});
-                   }})
+    : tables_(tables), send_(std::move(send)), ration_(tables.options.ration),
+      refiller_(tables, client, peers_,
+                {.on_credited = [this] { answer_pending(instant()); },
+                 .on_round_done =
+                     [this](instant begun) {
+                         answer_pending(begun);
+                         check_writer_timeout();
+                         forget_expired();
+                     },
+                 .request_tokens =
+                     [this](const host_id& writer, const team_id& team,
+                            tokens amount) {
+                         send_request(
+                             writer,
+                             {.team = team, .wanted = amount, .patient = true});
+                     }})
 {}
 
 void token_allocator::start()
 {
-    keeper_.start();
+    refiller_.start();
 }
 
-void token_allocator::changed()
+void token_allocator::wake_waiters()
 {
-    for (const auto& it : waiting_)
+    for (const auto& it : waiters_)
         if (const auto timer = it.lock())
             timer->cancel();
-    waiting_.clear();
+    waiters_.clear();
 }
 
 awaitable<void> token_allocator::wait_for_change(instant until)
@@ -105,11 +111,11 @@
     if (left <= duration(0))
         co_return;
     auto timer = std::make_shared<asio::steady_timer>(tables_.io);
-    waiting_.push_back(timer);
+    waiters_.push_back(timer);
     co_await sleep_on(*timer, left);
 }
 
-// Spending.
+// Reservations.
 
 awaitable<shortage> token_allocator::acquire(const team_id& team, tokens amount,
                                              int urgency, instant until)
@@ -117,30 +123,32 @@
     const auto* payer = tables_.config->find_team(team);
     if (payer == nullptr || !payer->prepaid || *payer->prepaid < amount)
         co_return shortage::exceeds_prepaid;
-    shares_.note(team, urgency, amount, tables_.now());
+    ration_.note(team, urgency, amount, tables_.now());
     const waiting_request here(waiting_by_team_, team);
     std::set<host_id> tried;
-    std::optional<record_question> asked;
-    int questions = 0;
+    std::optional<record_request> asked;
+    int record_requests = 0;
     while (!reserve(team, amount, urgency)) {
         if (tables_.now() >= until)
             co_return shortage_of(team);
-        const auto peer = best_peer(team, tried);
+        const auto peer = choose_peer(team, tried);
         const tokens missing = missing_of(team, amount, urgency);
-        const tokens wanted = missing + wanted_beyond(team);
-        duration pause = peer_patience;
+        const tokens wanted = missing + extra_request(team);
+        duration pause = peer_timeout;
         if (peer) {
             tried.insert(*peer);
-            ask(*peer, {.team = team, .wanted = wanted, .urgency = urgency});
-        } else if (asked && !is_over(*asked)) {
+            send_request(*peer,
+                         {.team = team, .wanted = wanted, .urgency = urgency});
+        } else if (asked && !is_done(*asked)) {
             pause = until - tables_.now();
-        } else if (questions == 0 || (questions < most_questions &&
-                                      !is_hopeless(team, missing))) {
-            // What others have by then is asked for once more.
-            ++questions;
+        } else if (record_requests == 0 ||
+                   (record_requests < max_record_requests &&
+                    !cannot_be_withdrawn(team, missing))) {
+            // Peers may have received tokens meanwhile: ask them again.
+            ++record_requests;
             tried.clear();
-            asked = ask_for_more(team, wanted, urgency);
-            pause = record_patience;
+            asked = request_from_record(team, wanted, urgency);
+            pause = record_timeout;
         } else {
             co_return shortage_of(team);
         }
@@ -149,104 +157,113 @@
     co_return shortage::none;
 }
 
-/// While no tokens come, what is left has to last. The platform is away, or
-/// has nothing left of the team's.
-tokens token_allocator::kept_back(const team_id& team, int urgency) const
+/// Tokens kept back for more urgent requests, while the platform is unreachable
+/// or has none left for the team, so that the remaining ones last.
+tokens token_allocator::reserved_for_urgent(const team_id& team,
+                                            int urgency) const
 {
-    return keeper_.is_scarce(team)
-               ? shares_.kept_back(team, urgency, tables_.now())
+    return refiller_.is_scarce(team)
+               ? ration_.kept_back(team, urgency, tables_.now())
                : tokens(0);
 }
 
 bool token_allocator::reserve(const team_id& team, tokens amount, int urgency)
 {
-    if (tables_.purse.free_of(team) - amount < kept_back(team, urgency))
+    if (tables_.purse.free_of(team) - amount <
+        reserved_for_urgent(team, urgency))
         return false;
     return tables_.purse.reserve(team, amount, tables_.now());
 }
 
-/// Takes out of the purse what a peer may have of what it asks for.
-tokens token_allocator::debit(const mesh::token_ask& ask)
+/// Deducts from the balance what a peer may be granted of its request.
+tokens token_allocator::debit(const mesh::token_ask& request)
 {
-    const tokens free = tables_.purse.free_of(ask.team);
-    const tokens spare = free - kept_back(ask.team, ask.urgency);
-    return tables_.purse.debit(ask.team,
-                               std::clamp(spare, tokens(0), ask.wanted));
+    const tokens free = tables_.purse.free_of(request.team);
+    const tokens spare =
+        free - reserved_for_urgent(request.team, request.urgency);
+    return tables_.purse.debit(request.team,
+                               std::clamp(spare, tokens(0), request.wanted));
 }
 
-/// What to ask others for. Where several requests of the team wait, each would
-/// count the same free tokens as its own, and together they would ask for too
-/// little.
+/// Tokens to request from others. The free tokens are subtracted only if no
+/// other request of the team is waiting: several requests would each count the
+/// same free tokens as their own, and together request too little.
 tokens token_allocator::missing_of(const team_id& team, tokens amount,
                                    int urgency) const
 {
     const auto waiting = waiting_by_team_->find(team);
     const bool alone =
         waiting == waiting_by_team_->end() || waiting->second <= 1;
-    const tokens spare = tables_.purse.free_of(team) - kept_back(team, urgency);
+    const tokens spare =
+        tables_.purse.free_of(team) - reserved_for_urgent(team, urgency);
     return alone ? amount - std::max(spare, tokens(0)) : amount;
 }
 
-tokens token_allocator::wanted_beyond(const team_id& team) const
+tokens token_allocator::extra_request(const team_id& team) const
 {
     const tokens left =
-        keeper_.is_scarce(team) ? tokens(0) : keeper_.left_of(team);
+        refiller_.is_scarce(team) ? tokens(0) : refiller_.left_of(team);
     return prepaid::ask_beyond(tables_.purse.spending(team, tables_.now()),
                                left, tables_.options.stock);
 }
 
-/// Has tokens taken out of the record, here or where it is written.
-token_allocator::record_question
-token_allocator::ask_for_more(const team_id& team, tokens missing, int urgency)
+/// Requests tokens from the record, on this node or from the node that writes
+/// it.
+token_allocator::record_request
+token_allocator::request_from_record(const team_id& team, tokens missing,
+                                     int urgency)
 {
-    const mesh::node_row* writer = keeper_.remote_writer();
+    const mesh::node_row* writer = refiller_.remote_writer();
     if (writer == nullptr)
-        return {.round = keeper_.request_tokens(team, missing, false)};
+        return {.round = refiller_.request_tokens(team, missing, false)};
     if (!tables_.options.lends_tokens)
         return {};
-    return {.number =
-                ask(writer->last.host,
-                    {.team = team, .wanted = missing, .urgency = urgency})};
+    return {.number = send_request(
+                writer->last.host,
+                {.team = team, .wanted = missing, .urgency = urgency})};
 }
 
-bool token_allocator::is_over(const record_question& question) const
+bool token_allocator::is_done(const record_request& pending) const
 {
-    if (question.number)
-        return !asked_.contains(*question.number);
-    return !question.round || keeper_.is_round_done(*question.round);
+    if (pending.number)
+        return !outstanding_.contains(*pending.number);
+    return !pending.round || refiller_.is_round_done(*pending.round);
 }
 
-/// Whether the record can't be what brings them.
-bool token_allocator::is_hopeless(const team_id& team, tokens missing) const
+/// Whether the record cannot provide the missing tokens.
+bool token_allocator::cannot_be_withdrawn(const team_id& team,
+                                          tokens missing) const
 {
-    return !keeper_.reaches_platform() || keeper_.left_of(team) < missing;
+    return !refiller_.reaches_platform() || refiller_.left_of(team) < missing;
 }
 
 shortage token_allocator::shortage_of(const team_id& team) const
 {
-    return keeper_.is_scarce(team) ? shortage::indefinite : shortage::temporary;
+    return refiller_.is_scarce(team) ? shortage::indefinite
+                                     : shortage::temporary;
 }
 
 void token_allocator::settle(const team_id& team, tokens reserved, tokens used)
 {
     tables_.purse.settle(team, reserved, used, tables_.now());
     if (used < reserved)
-        changed();
+        wake_waiters();
 }
 
 // Transfers between nodes.
 
 std::optional<host_id>
-token_allocator::best_peer(const team_id& team,
-                           const std::set<host_id>& tried) const
+token_allocator::choose_peer(const team_id& team,
+                             const std::set<host_id>& tried) const
 {
     if (!tables_.options.lends_tokens)
         return std::nullopt;
     const instant since = tables_.now() - tables_.stock_word_lasts();
     if (auto best = peers_.richest(team, tried, since))
         return best;
-    // Nobody is known to have any: a stockist may have got some since.
-    for (const host_id& it : keeper_.stock_holders(team))
+    // No peer is known to have any; a stock holder may have received some
+    // since.
+    for (const host_id& it : refiller_.stock_holders(team))
         if (!tried.contains(it) && tables_.nodes.rows().contains(it))
             return it;
     return std::nullopt;
@@ -259,14 +276,14 @@
                                             : it->second.last.peer_address;
 }
 
-/// Asks with the next number; `what` says the rest.
-mesh::transfer_number token_allocator::ask(const host_id& peer,
-                                           mesh::token_ask what)
+/// Sends `what` to a peer under the next transfer number.
+mesh::transfer_number token_allocator::send_request(const host_id& peer,
+                                                    mesh::token_ask what)
 {
     last_number_ = last_number_.next();
     what.life = tables_.life;
     what.number = last_number_;
-    asked_[last_number_] = {what.team, peer, tables_.now(), what.patient};
+    outstanding_[last_number_] = {what.team, peer, tables_.now(), what.patient};
     peers_.deduct(peer, what.team, what.wanted);
     mesh::datagram message;
     message.ask = std::move(what);
@@ -274,126 +291,130 @@
     return last_number_;
 }
 
-void token_allocator::on_token_request(const mesh::token_ask& ask,
+void token_allocator::on_token_request(const mesh::token_ask& request,
                                        const std::string& from)
 {
-    const transfer_key key{ask.life, ask.number};
-    const auto known = answered_.find(key);
-    if (known != answered_.end()) {
+    const transfer_key key{request.life, request.number};
+    const auto known = grants_sent_.find(key);
+    if (known != grants_sent_.end()) {
         mesh::datagram again;
         again.give = known->second.first;
         send_(from, again);
         return;
     }
     const bool waits =
-        std::ranges::any_of(pending_, [&](const pending_ask& it) {
-            return it.ask.life == ask.life && it.ask.number == ask.number;
+        std::ranges::any_of(pending_, [&](const pending_request& it) {
+            return it.request.life == request.life &&
+                   it.request.number == request.number;
         });
     if (waits)
         return;
-    if (!ask.patient)
-        shares_.note(ask.team, ask.urgency, ask.wanted, tables_.now());
-    const tokens free = tables_.purse.free_of(ask.team);
-    if (free < ask.wanted && keeper_.can_withdraw(ask.team)) {
-        pending_.push_back({ask, from, tables_.now()});
-        keeper_.request_tokens(ask.team, ask.wanted - free, ask.patient);
+    if (!request.patient)
+        ration_.note(request.team, request.urgency, request.wanted,
+                     tables_.now());
+    const tokens free = tables_.purse.free_of(request.team);
+    if (free < request.wanted && refiller_.can_withdraw(request.team)) {
+        pending_.push_back({request, from, tables_.now()});
+        refiller_.request_tokens(request.team, request.wanted - free,
+                                 request.patient);
         return;
     }
-    // Two nodes that are short would hand the same tokens to and fro.
-    const bool none_to_spare = waiting_by_team_->contains(ask.team) &&
-                               keeper_.remote_writer() != nullptr;
-    give(ask, from, none_to_spare ? tokens(0) : debit(ask));
+    // Two nodes short of tokens would send the same tokens back and forth.
+    const bool none_to_spare = waiting_by_team_->contains(request.team) &&
+                               refiller_.remote_writer() != nullptr;
+    send_grant(request, from, none_to_spare ? tokens(0) : debit(request));
 }
 
-/// Answers those that wait and can have all they want now, and those that wait
-/// since before `begun` with what there is.
+/// Answers pending requests that can be granted in full now, and those made
+/// before `begun` with what is available.
 void token_allocator::answer_pending(instant begun)
 {
-    std::vector<pending_ask> left;
-    for (pending_ask& it : std::exchange(pending_, {})) {
-        const tokens free = tables_.purse.free_of(it.ask.team);
-        if (free >= it.ask.wanted || it.at <= begun)
-            give(it.ask, it.from, debit(it.ask));
+    std::vector<pending_request> left;
+    for (pending_request& it : std::exchange(pending_, {})) {
+        const tokens free = tables_.purse.free_of(it.request.team);
+        if (free >= it.request.wanted || it.at <= begun)
+            send_grant(it.request, it.from, debit(it.request));
         else
             left.push_back(std::move(it));
     }
     pending_ = std::move(left);
-    changed();
+    wake_waiters();
 }
 
-/// A writer that doesn't answer is dead, or cut off from here, and others may
-/// need longer to notice.
-void token_allocator::note_silent_writer()
+/// Reports a writer that does not answer. It is dead, or unreachable from this
+/// node, which other nodes may notice later.
+void token_allocator::check_writer_timeout()
 {
-    const mesh::node_row* writer = keeper_.remote_writer();
+    const mesh::node_row* writer = refiller_.remote_writer();
     if (writer == nullptr)
         return;
     const instant now = tables_.now();
-    const instant heard = answered_by_[writer->last.host];
-    const bool silent = std::ranges::any_of(asked_, [&](const auto& it) {
-        const asked& what = it.second;
-        const duration patience =
-            what.patient ? writer_stock_patience : writer_patience;
+    const instant heard = last_grant_from_[writer->last.host];
+    const bool silent = std::ranges::any_of(outstanding_, [&](const auto& it) {
+        const outstanding_request& what = it.second;
+        const duration timeout =
+            what.patient ? writer_stock_timeout : writer_timeout;
         return what.peer == writer->last.host && what.at > heard &&
-               now - what.at > patience;
+               now - what.at > timeout;
     });
     if (silent)
-        keeper_.on_writer_timeout();
+        refiller_.on_writer_timeout();
 }
 
-void token_allocator::give(const mesh::token_ask& ask, const std::string& from,
-                           tokens amount)
+void token_allocator::send_grant(const mesh::token_ask& request,
+                                 const std::string& from, tokens amount)
 {
     mesh::datagram message;
-    message.give = {ask.life, ask.number, ask.team, amount,
-                    keeper_.allotted_of(ask.team)};
-    answered_[{ask.life, ask.number}] = {*message.give, tables_.now()};
+    message.give = {request.life, request.number, request.team, amount,
+                    refiller_.allotted_of(request.team)};
+    grants_sent_[{request.life, request.number}] = {*message.give,
+                                                    tables_.now()};
     send_(from, message);
     if (amount > tokens(0))
         log_event(event::tokens_moved,
-                  {{"team", ask.team.str()},
+                  {{"team", request.team.str()},
                    {"amount", std::to_string(amount.count())},
                    {"to", from},
-                   {"left",
-                    std::to_string(tables_.purse.free_of(ask.team).count())}});
+                   {"left", std::to_string(
+                                tables_.purse.free_of(request.team).count())}});
 }
 
-void token_allocator::on_token_grant(const mesh::token_give& give)
+void token_allocator::on_token_grant(const mesh::token_give& grant)
 {
-    const auto it = asked_.find(give.number);
-    const bool ours = give.life == tables_.life && it != asked_.end() &&
-                      it->second.team == give.team;
+    const auto it = outstanding_.find(grant.number);
+    const bool ours = grant.life == tables_.life && it != outstanding_.end() &&
+                      it->second.team == grant.team;
     if (!ours)
         return;
-    answered_by_[it->second.peer] = tables_.now();
-    asked_.erase(it);
-    if (give.allotted)
-        keeper_.raise_allotted(give.team, *give.allotted);
-    tables_.purse.credit(give.team, give.amount);
-    changed();
+    last_grant_from_[it->second.peer] = tables_.now();
+    outstanding_.erase(it);
+    if (grant.allotted)
+        refiller_.raise_allotted(grant.team, *grant.allotted);
+    tables_.purse.credit(grant.team, grant.amount);
+    wake_waiters();
 }
 
-void token_allocator::on_token_push(const mesh::token_gift& gift,
+void token_allocator::on_token_push(const mesh::token_gift& push,
                                     const std::string& from)
 {
-    const auto key = std::make_pair(gift.life, gift.number);
-    if (gifts_taken_.emplace(key, tables_.now()).second) {
-        tables_.purse.credit(gift.team, gift.amount);
+    const auto key = std::make_pair(push.life, push.number);
+    if (pushes_received_.emplace(key, tables_.now()).second) {
+        tables_.purse.credit(push.team, push.amount);
         log_event(event::tokens_moved,
-                  {{"team", gift.team.str()},
-                   {"amount", std::to_string(gift.amount.count())},
+                  {{"team", push.team.str()},
+                   {"amount", std::to_string(push.amount.count())},
                    {"from", from}});
-        changed();
+        wake_waiters();
     }
     mesh::datagram message;
-    message.gift_taken = {gift.life, gift.number};
+    message.gift_taken = {push.life, push.number};
     send_(from, message);
 }
 
 void token_allocator::on_push_acknowledged(const mesh::token_gift_taken& taken)
 {
     if (taken.life == tables_.life)
-        gifts_.erase(taken.number);
+        pushes_.erase(taken.number);
 }
 
 void token_allocator::on_heartbeat(const mesh::beacon& from)
@@ -427,16 +448,17 @@
     return out;
 }
 
-/// One taker a gift: two could both credit it.
-awaitable<void> token_allocator::repeat_gift(mesh::token_gift gift,
+/// Repeats a push until it is acknowledged, always to the same node: two nodes
+/// could both credit it.
+awaitable<void> token_allocator::repeat_push(mesh::token_gift push,
                                              std::string to, instant until)
 {
     asio::steady_timer timer(tables_.io);
-    while (gifts_.contains(gift.number) && tables_.now() < until) {
+    while (pushes_.contains(push.number) && tables_.now() < until) {
         mesh::datagram message;
-        message.gift = gift;
+        message.gift = push;
         send_(to, message);
-        co_await sleep_on(timer, gift_repeat);
+        co_await sleep_on(timer, push_repeat_interval);
     }
 }
 
@@ -447,37 +469,37 @@
         if (it.free == tokens(0))
             continue;
         std::string taker;
-        for (const host_id& host : keeper_.stock_holders(it.team))
+        for (const host_id& host : refiller_.stock_holders(it.team))
             if (taker.empty() && host != tables_.settings.host)
                 taker = address_of(host);
         if (taker.empty())
             continue;
         last_number_ = last_number_.next();
-        const mesh::token_gift gift{tables_.life, last_number_, it.team,
+        const mesh::token_gift push{tables_.life, last_number_, it.team,
                                     tables_.purse.debit_all(it.team)};
-        gifts_[last_number_] = gift;
-        spawn(tables_.io, repeat_gift(gift, taker, until));
+        pushes_[last_number_] = push;
+        spawn(tables_.io, repeat_push(push, taker, until));
     }
     asio::steady_timer timer(tables_.io);
-    while (!gifts_.empty() && tables_.now() < until)
-        co_await sleep_on(timer, gift_repeat / 3);
-    for (const auto& [number, gift] : gifts_)
+    while (!pushes_.empty() && tables_.now() < until)
+        co_await sleep_on(timer, push_repeat_interval / 3);
+    for (const auto& [number, push] : pushes_)
         log_event(event::tokens_stranded,
-                  {{"team", gift.team.str()},
-                   {"amount", std::to_string(gift.amount.count())}});
+                  {{"team", push.team.str()},
+                   {"amount", std::to_string(push.amount.count())}});
 }
 
-void token_allocator::forget_old()
+void token_allocator::forget_expired()
 {
     const instant now = tables_.now();
-    std::erase_if(asked_, [&](const auto& it) {
-        return now - it.second.at > transfer_memory;
+    std::erase_if(outstanding_, [&](const auto& it) {
+        return now - it.second.at > transfer_retention;
     });
-    std::erase_if(answered_, [&](const auto& it) {
-        return now - it.second.second > transfer_memory;
+    std::erase_if(grants_sent_, [&](const auto& it) {
+        return now - it.second.second > transfer_retention;
     });
-    std::erase_if(gifts_taken_, [&](const auto& it) {
-        return now - it.second > transfer_memory;
+    std::erase_if(pushes_received_, [&](const auto& it) {
+        return now - it.second > transfer_retention;
     });
 }
 
--- a/libs/edge/token_allocator_test.cpp
+++ b/libs/edge/token_allocator_test.cpp
@@ -1,4 +1,4 @@
-// Transfers of tokens between nodes over a network that loses, doubles and
+// Transfers of tokens between nodes over a network that loses, duplicates and
 // reorders datagrams.
 
 #include "fennelladder/edge/token_allocator.hpp"
@@ -19,7 +19,7 @@
     adapter::host_settings out;
     out.host = host_id("n" + std::to_string(i));
     out.ip = "127.0.0.1";
-    // Nothing listens there: the platform is out.
+    // Nothing listens there: the platform is unreachable.
     out.store_address = "127.0.0.1:1";
     return out;
 }
@@ -42,12 +42,12 @@
     ~fleet() { telemetry::set_log_sink(nullptr); }
 
     prepaid::purse& purse(int i) { return nodes_[i]->tables.purse; }
-    token_allocator& desk(int i) { return nodes_[i]->desk; }
+    token_allocator& allocator(int i) { return nodes_[i]->allocator; }
     asio::io_context& io() { return io_; }
     instant now() { return time_.now(); }
 
-    /// Everybody hears how much the others hold.
-    void tell_stock()
+    /// Each node receives a heartbeat with the balances of the others.
+    void exchange_stock()
     {
         for (int from = 0; from < 3; ++from) {
             mesh::beacon hello;
@@ -56,16 +56,16 @@
             hello.sequence = ++sequence_;
             hello.state = mesh::node_state::ready;
             hello.peer_address = address_of(from);
-            hello.stock = desk(from).local_stock();
+            hello.stock = allocator(from).local_stock();
             for (int to = 0; to < 3; ++to)
                 if (to != from) {
                     nodes_[to]->tables.nodes.hear(hello, now());
-                    desk(to).on_heartbeat(hello);
+                    allocator(to).on_heartbeat(hello);
                 }
         }
     }
 
-    /// Lets time pass; datagrams arrive in any order, twice, or not at all.
+    /// Runs for `length`. Datagrams arrive in any order, twice, or not at all.
     void run_for(duration length)
     {
         const instant end = now() + length;
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Handlers that the loop has run.
+    /// Number of handlers that the event loop has run.
     std::size_t handlers() const { return handlers_; }
 
     tokens held()
@@ -93,11 +93,11 @@
     {
         node(fleet& all, int i, std::uint64_t seed)
             : tables(all.io_, all.time_, settings_of(i), seed), client(tables),
-              desk(tables, client,
-                   [&all, i](const std::string& to,
-                             const mesh::datagram& message) {
-                       all.send(i, to, message);
-                   })
+              allocator(tables, client,
+                        [&all, i](const std::string& to,
+                                  const mesh::datagram& message) {
+                            all.send(i, to, message);
+                        })
         {
             catalog::configuration_parts parts;
             parts.version = catalog::configuration_version(1);
@@ -110,10 +110,10 @@
 
         node_tables tables;
         platform_client client;
-        token_allocator desk;
+        token_allocator allocator;
     };
 
-    struct letter
+    struct queued_datagram
     {
         int from;
         int to;
@@ -127,26 +127,27 @@
                            : random_.chance(loss_) ? 2
                                                    : 1;
         for (int k = 0; k < copies; ++k)
-            letters_.push_back({from, target, mesh::encode(message)});
+            datagrams_.push_back({from, target, mesh::encode(message)});
     }
 
     void deliver()
     {
-        while (!letters_.empty()) {
-            const std::size_t i = random_.below(letters_.size());
-            const letter it = letters_[i];
-            letters_.erase(letters_.begin() + static_cast<std::ptrdiff_t>(i));
+        while (!datagrams_.empty()) {
+            const std::size_t i = random_.below(datagrams_.size());
+            const queued_datagram it = datagrams_[i];
+            datagrams_.erase(datagrams_.begin() +
+                             static_cast<std::ptrdiff_t>(i));
             const auto message = mesh::decode_datagram(it.bytes);
             CHECK(message.has_value());
-            token_allocator& desk = nodes_[it.to]->desk;
+            token_allocator& allocator = nodes_[it.to]->allocator;
             if (message->ask)
-                desk.on_token_request(*message->ask, address_of(it.from));
+                allocator.on_token_request(*message->ask, address_of(it.from));
             if (message->give)
-                desk.on_token_grant(*message->give);
+                allocator.on_token_grant(*message->give);
             if (message->gift)
-                desk.on_token_push(*message->gift, address_of(it.from));
+                allocator.on_token_push(*message->gift, address_of(it.from));
             if (message->gift_taken)
-                desk.on_push_acknowledged(*message->gift_taken);
+                allocator.on_push_acknowledged(*message->gift_taken);
         }
     }
 
@@ -156,7 +157,7 @@
     double loss_;
     std::uint64_t sequence_ = 0;
     std::size_t handlers_ = 0;
-    std::deque<letter> letters_;
+    std::deque<queued_datagram> datagrams_;
     std::vector<std::unique_ptr<node>> nodes_;
 };
 
@@ -165,11 +166,11 @@
 {
     const instant until = all.now() + milliseconds(80);
     const shortage lacks =
-        co_await all.desk(i).acquire(team, amount, urgency, until);
+        co_await all.allocator(i).acquire(team, amount, urgency, until);
     if (lacks != shortage::none)
         co_return;
     ++got;
-    all.desk(i).settle(team, amount, amount);
+    all.allocator(i).settle(team, amount, amount);
 }
 
 } // namespace
@@ -180,7 +181,7 @@
 {
     fleet all(1, 0);
     all.purse(0).credit(team, tokens(1000));
-    all.tell_stock();
+    all.exchange_stock();
     int got = 0;
     spawn(all.io(), acquire(all, 1, tokens(300), got));
     spawn(all.io(), acquire(all, 2, tokens(500), got));
@@ -190,24 +191,24 @@
     CHECK(all.held() == tokens(1000));
 }
 
-// What is left lies in pieces at several nodes; together it is enough.
-TEST(token_allocator, pieces_are_put_together)
+// The remaining tokens are spread over several nodes; together they suffice.
+TEST(token_allocator, tokens_of_several_peers_are_combined)
 {
     fleet all(1, 0);
     all.purse(0).credit(team, tokens(200));
     all.purse(1).credit(team, tokens(200));
-    all.tell_stock();
+    all.exchange_stock();
     int got = 0;
     spawn(all.io(), acquire(all, 2, tokens(400), got));
     all.run_for(milliseconds(100));
     CHECK_EQUAL(1, got);
 }
 
-TEST(token_allocator, a_request_that_nobody_can_cover_is_given_up)
+TEST(token_allocator, a_request_that_no_node_can_cover_is_refused)
 {
     fleet all(1, 0);
     all.purse(0).credit(team, tokens(200));
-    all.tell_stock();
+    all.exchange_stock();
     int got = 0;
     spawn(all.io(), acquire(all, 2, tokens(400), got));
     all.run_for(milliseconds(150));
@@ -215,9 +216,9 @@
     CHECK(all.held() == tokens(200));
 }
 
-// Story: a third of all datagrams are lost and a third come twice, in any
-// order. Tokens may get lost on the way; none may come into being.
-TEST(token_allocator, a_bad_network_makes_no_tokens)
+// A third of all datagrams are lost and a third of the others arrive twice, in
+// any order. Tokens may be lost in transit; none may be created.
+TEST(token_allocator, a_lossy_network_creates_no_tokens)
 {
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
         fleet all(seed, 0.33);
@@ -225,7 +226,7 @@
         random_source random(seed);
         int got = 0;
         for (int i = 0; i < 30; ++i) {
-            all.tell_stock();
+            all.exchange_stock();
             const tokens amount(
                 static_cast<std::int64_t>(1 + random.below(300)));
             spawn(all.io(),
@@ -239,31 +240,31 @@
     }
 }
 
-TEST(token_allocator, a_leaving_node_hands_its_tokens_on)
+TEST(token_allocator, a_leaving_node_pushes_its_tokens_to_others)
 {
     fleet all(3, 0.33);
     all.purse(0).credit(team, tokens(1000));
-    all.tell_stock();
-    spawn(all.io(), all.desk(0).push_all(milliseconds(800)));
+    all.exchange_stock();
+    spawn(all.io(), all.allocator(0).push_all(milliseconds(800)));
     all.run_for(milliseconds(900));
     CHECK(all.purse(0).free_of(team) == tokens(0));
     CHECK(all.held() == tokens(1000));
 }
 
-// Story: the platform is away. A node holds tokens that urgent requests will
-// want; a large request of less urgency leaves these where they are, also at
-// the nodes that it asks.
-TEST(token_allocator, the_last_tokens_wait_for_more_urgent_requests)
+// The platform is unreachable. A large request of low urgency must not use the
+// tokens that urgent requests will need, neither on its own node nor on the
+// nodes that receive its token requests.
+TEST(token_allocator, the_last_tokens_are_kept_for_more_urgent_requests)
 {
     fleet all(4, 0);
     for (int i = 0; i < 2; ++i)
         all.purse(i).credit(team, tokens(20'000));
-    all.desk(0).start(); // Finds that the platform is away.
+    all.allocator(0).start(); // Finds that the platform is unreachable.
     all.run_for(milliseconds(900));
     int urgent = 0;
     for (int i = 0; i < 8; ++i) {
         spawn(all.io(), acquire(all, 0, tokens(1'000), urgent));
-        all.tell_stock();
+        all.exchange_stock();
         all.run_for(milliseconds(100));
     }
     CHECK_EQUAL(8, urgent);
@@ -279,13 +280,14 @@
     CHECK_EQUAL(1, more);
 }
 
-// Story: the platform is away and a team has tokens left there. Each request
-// that waited for them asked the record anew as soon as it was told that
-// nothing came; being told woke all that wait. The node did nothing else.
-TEST(token_allocator, requests_that_wait_in_an_outage_do_not_wake_each_other)
+// The platform is unreachable while a team has tokens left in the record. Each
+// waiting request requested them again as soon as a round ended without any,
+// and each end of a round woke all waiters, so the node was busy with nothing
+// else.
+TEST(token_allocator, requests_waiting_in_an_outage_do_not_wake_each_other)
 {
     fleet all(5, 0);
-    all.desk(0).start();
+    all.allocator(0).start();
     all.run_for(milliseconds(900));
     const std::size_t before = all.handlers();
     int got = 0;
@@ -293,14 +295,14 @@
         spawn(all.io(), acquire(all, 0, tokens(1'000), got));
     all.run_for(milliseconds(200));
     CHECK_EQUAL(0, got);
-    // A few questions each, and the loop's own upkeep.
+    // A few requests to the record each, and the loop's periodic work.
     CHECK(all.handlers() - before < 2'000);
 }
 
-// Story: all processes are killed and start again. One that knows no
-// configuration yet is asked for tokens by another, as one of the team's
-// stockists, and ended with a fault.
-TEST(token_allocator, a_node_without_a_configuration_says_that_it_has_nothing)
+// All processes are killed and restarted. A node without a configuration
+// receives a token request, as one of the team's stock holders; it crashed on
+// it.
+TEST(token_allocator, a_node_without_a_configuration_grants_nothing)
 {
     telemetry::set_log_sink([](auto&&...) {});
     asio::io_context io{1};
@@ -308,17 +310,17 @@
     node_tables tables(io, time, settings_of(0), 1);
     platform_client client(tables);
     std::vector<mesh::datagram> sent;
-    token_allocator desk(tables, client,
-                         [&](const std::string&, const mesh::datagram& it) {
-                             sent.push_back(it);
-                         });
-    desk.start();
-    desk.on_token_request({.life = mesh::node_life(7),
-                           .number = mesh::transfer_number(1),
-                           .team = team,
-                           .wanted = tokens(500),
-                           .urgency = 3},
-                          address_of(1));
+    token_allocator allocator(
+        tables, client, [&](const std::string&, const mesh::datagram& it) {
+            sent.push_back(it);
+        });
+    allocator.start();
+    allocator.on_token_request({.life = mesh::node_life(7),
+                                .number = mesh::transfer_number(1),
+                                .team = team,
+                                .wanted = tokens(500),
+                                .urgency = 3},
+                               address_of(1));
     io.run_for(milliseconds(300));
     CHECK_EQUAL(1, sent.size());
     CHECK(sent[0].give && sent[0].give->amount == tokens(0));
