--- a/include/fennelladder/edge/request_cancellation.hpp
+++ b/include/fennelladder/edge/request_cancellation.hpp
@@ -1,6 +1,6 @@
 // Stops a request from outside while a coroutine works on it.
 //
-//     request_cancellation cancellation(io, now);
+//     request_cancellation cancellation(io, clock);
 //     cancellation.set_deadline(at);
 //     cancellation.attach(connection);  // closed when the request is stopped
 //     ... read from the connection; on failure check cancellation.stopped() ...
--- a/include/fennelladder/edge/token_allocator.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -46,6 +46,7 @@
     indefinite
 };
 
+/// Reserves tokens for requests, and moves tokens between nodes.
 class token_allocator
 {
 public:
@@ -67,7 +68,7 @@
     /// Ends a reservation of which the request used `used` tokens.
     void settle(const team_id& team, tokens reserved, tokens used);
 
-    /// Handle messages of other nodes. `from` is the sender's address.
+    /// Handles messages of other nodes. `from` is the sender's address.
     void on_token_request(const mesh::token_ask& request,
                           const std::string& from);
     void on_token_grant(const mesh::token_give& grant);
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -74,7 +74,7 @@
     response_head to_response_head(const response_parser& parser) const;
     void end(attempt_end how, target_evidence evidence, std::string detail);
     void end_with_error(const char* where);
-    void extend_idle_deadline(std::optional<duration> limit);
+    void restart_idle_timer(std::optional<duration> limit);
     void release_connection(const response_parser& parser);
     void record_first_byte();
 
@@ -146,7 +146,8 @@
     return in_.request.method == "HEAD";
 }
 
-void attempt::extend_idle_deadline(std::optional<duration> limit)
+/// Sets the idle deadline to `limit` from now; unset: removes it.
+void attempt::restart_idle_timer(std::optional<duration> limit)
 {
     if (limit)
         in_.cancellation.set_idle_deadline(in_.tables.now() + *limit);
@@ -335,7 +336,7 @@
 /// request's deadline limits that time.
 awaitable<bool> attempt::relay_events(const response_parser& parser)
 {
-    extend_idle_deadline(std::nullopt);
+    restart_idle_timer(std::nullopt);
     bool sent = true;
     if (!in_.reply.begun()) {
         const response_head head = to_response_head(parser);
@@ -368,7 +369,7 @@
             continue;
         passed = in_.events.events();
         record_first_byte();
-        extend_idle_deadline(in_.progress_timeout);
+        restart_idle_timer(in_.progress_timeout);
         // The target is about to be disconnected: a partial response is
         // useless.
         if (caller_has_left())
@@ -376,7 +377,7 @@
         const bool passed_on = co_await relay_events(parser);
         if (!passed_on)
             co_return;
-        extend_idle_deadline(in_.progress_timeout);
+        restart_idle_timer(in_.progress_timeout);
     }
     release_connection(parser);
     const bool passed_on = co_await relay_events(parser);
@@ -398,7 +399,7 @@
 awaitable<void> attempt::relay_unbuffered(response_parser& parser,
                                           std::string part)
 {
-    extend_idle_deadline(std::nullopt);
+    restart_idle_timer(std::nullopt);
     out_.partial_body_sent = true;
     const response_head head = to_response_head(parser);
     bool taken = co_await in_.reply.begin(head);
@@ -428,13 +429,13 @@
         const bool more = co_await read_body_part(parser, body);
         if (!more)
             co_return;
-        extend_idle_deadline(in_.progress_timeout);
+        restart_idle_timer(in_.progress_timeout);
         if (body.size() > max_buffered_bytes) {
             co_await relay_unbuffered(parser, std::move(body));
             co_return;
         }
     }
-    extend_idle_deadline(std::nullopt);
+    restart_idle_timer(std::nullopt);
     release_connection(parser);
     const response_head head = to_response_head(parser);
     const bool sent = co_await in_.reply.send_complete(head, body);
@@ -537,7 +538,7 @@
 {
     const bool connected = co_await connect();
     if (connected && may_still_send()) {
-        extend_idle_deadline(in_.first_byte_timeout);
+        restart_idle_timer(in_.first_byte_timeout);
         send();
         co_await read_responses();
     }
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -39,8 +39,10 @@
 /// Minimum timeout for the first byte, however short the latency objective.
 constexpr duration min_first_byte_timeout = milliseconds(250);
 
-constexpr int max_urgency_value = 9;
+/// Urgency runs from 0, the most urgent, to this value.
+constexpr int lowest_urgency = 9;
 
+/// A response that refuses a request before any attempt.
 struct refusal
 {
     unsigned status = 503;
@@ -151,7 +153,7 @@
 int request_run::urgency() const
 {
     const int out = team_ && team_->urgency ? *team_->urgency : route_->urgency;
-    return std::clamp(out, 0, max_urgency_value);
+    return std::clamp(out, 0, lowest_urgency);
 }
 
 const service_id& request_run::choose_service()
--- a/libs/edge/target_connection.cpp
+++ b/libs/edge/target_connection.cpp
@@ -58,14 +58,14 @@
     const auto endpoint = parse_endpoint(made->to.address);
     if (!endpoint)
         co_return fail(error_code::invalid,
-                       "not an IP:port address: " + made->to.address);
+                       "not an address: " + made->to.address);
     socket_deadline until(socket_of(made));
     until.close_after(limit);
     net_error ec;
     co_await made->socket.async_connect(*endpoint, into(ec));
     until.clear();
     if (!made->socket.is_open())
-        co_return fail(error_code::unavailable, "connect timed out");
+        co_return fail(error_code::unavailable, "no connection in time");
     if (ec)
         co_return fail(error_code::unavailable, "connect: " + ec.message());
     enable_keepalive(made->socket, options_.keepalive_timeout);
