--- a/apps/fennelladder/command_front.cpp
+++ b/apps/fennelladder/command_front.cpp
@@ -45,12 +45,12 @@
 }
 
 /// Reads --decide; false, with the reason on standard error, if it is wrong.
-bool read_decisions(const std::string& text, edge::decision_options& out)
+bool read_decisions(const std::string& text, edge::tuning_options& out)
 {
     std::istringstream all(text);
     bool fine = true;
     for (std::string one; std::getline(all, one, ',');) {
-        const auto ok = edge::set_decision(out, one);
+        const auto ok = edge::set_tuning_option(out, one);
         if (!ok)
             std::cerr << "--decide: " << ok.error().message << '\n';
         fine = fine && ok;
@@ -114,11 +114,11 @@
         return parsed.exit_code;
     edge::edge_node_options options;
     if (wanted.text_of("decide") == "list") {
-        for (const std::string& it : edge::list_decisions(options.decide))
+        for (const std::string& it : edge::list_tuning_options(options.tuning))
             std::cout << it << '\n';
         return exit_success;
     }
-    if (!read_decisions(wanted.text_of("decide"), options.decide))
+    if (!read_decisions(wanted.text_of("decide"), options.tuning))
         return exit_bad_input;
     std::string path = wanted.text_of("settings-file");
     if (path.empty())
--- a/include/fennelladder/edge/edge_node.hpp
+++ b/include/fennelladder/edge/edge_node.hpp
@@ -35,12 +35,12 @@
     std::string settings_text;   ///< What `settings` was read from.
     std::string metrics_address; ///< IP:port; empty: none.
     std::string metrics_path = "/metrics";
-    decision_options decide;
+    tuning_options tuning;
     /// Validity of entry answers: callers hear of a dead node this late.
     duration entry_validity = seconds(2);
     /// After SIGTERM callers are still served for this long; their entry
     /// answers have run out by then.
-    duration serve_on = milliseconds(2500);
+    duration drain_delay = milliseconds(2500);
 };
 
 class edge_node
@@ -58,7 +58,7 @@
     awaitable<void> watch_signals();
     awaitable<void> leave();
     awaitable<void> housekeeping();
-    void introduce_seeds();
+    void add_seed_nodes();
     void reload_settings();
     void log_tokens();
     std::vector<entry_node> entry_nodes() const;
--- a/include/fennelladder/edge/entry_planner.hpp
+++ b/include/fennelladder/edge/entry_planner.hpp
@@ -34,12 +34,12 @@
 
 struct entry_options
 {
-    std::size_t most_addresses = 64; ///< More are of no use to a caller.
+    std::size_t max_addresses = 64; ///< More are of no use to a caller.
     /// With as many nodes in the caller's data centre, no others are named:
     /// if one of them dies, the caller has another.
-    std::size_t enough_near = 3;
+    std::size_t min_near_nodes = 3;
     /// At least so many nodes are named, if there are any.
-    std::size_t enough_capable = 2;
+    std::size_t min_nodes = 2;
     /// The nodes that are named can carry this many times the load seen. A
     /// burst is twice the usual, and the load is known some seconds late.
     double headroom = 2;
@@ -49,7 +49,7 @@
 double request_capacity(double cores, double link_bits_per_second);
 
 /// Who asks, and where its requests may be run.
-struct entry_asker
+struct entry_query
 {
     data_center_id data_center;
     region_id region;
@@ -57,7 +57,7 @@
 };
 
 std::vector<std::string> plan_entry(const std::vector<entry_node>& nodes,
-                                    const entry_asker& asker,
+                                    const entry_query& asker,
                                     const entry_options& options);
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/mesh_node.hpp
+++ b/include/fennelladder/edge/mesh_node.hpp
@@ -1,5 +1,5 @@
 // A node's part in the mesh: hears and sends beacons, carries the transfers
-// of tokens, and has what beacons only announce fetched (edge/news_exchange).
+// of tokens, and has what beacons only announce fetched (edge/update_exchange).
 //
 // Beacons are datagrams to each node once a period, and to all at once when
 // there is news; these carry the latest changes of targets.
@@ -9,9 +9,9 @@
 #ifndef FENNELLADDER_EDGE_MESH_NODE_HPP
 #define FENNELLADDER_EDGE_MESH_NODE_HPP
 
-#include "fennelladder/edge/news_exchange.hpp"
 #include "fennelladder/edge/node_tables.hpp"
 #include "fennelladder/edge/token_desk.hpp"
+#include "fennelladder/edge/update_exchange.hpp"
 
 #include <array>
 #include <functional>
@@ -27,7 +27,7 @@
     mesh_node(node_tables& tables, std::string address);
 
     /// Where token messages go. Call before start().
-    void connect_desk(token_desk& desk);
+    void set_token_desk(token_desk& desk);
 
     /// Fails with the reason when the address can't be used.
     status start();
@@ -35,7 +35,7 @@
     void send(const std::string& address, const mesh::datagram& message);
 
     /// Addresses of nodes learned elsewhere.
-    void introduce(const std::vector<std::string>& addresses);
+    void add_peer_addresses(const std::vector<std::string>& addresses);
 
     const std::string& address() const { return address_; }
 
@@ -88,7 +88,7 @@
     std::string address_;
     token_desk* desk_ = nullptr;
     udp::socket socket_;
-    news_exchange news_;
+    update_exchange news_;
     telemetry::counter& sent_;
     telemetry::counter& failed_;
     telemetry::gauge& lag_gauge_;
--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -15,9 +15,9 @@
 #include "fennelladder/dispatch/poison_list.hpp"
 #include "fennelladder/dispatch/retry_allowance.hpp"
 #include "fennelladder/dispatch/target_book.hpp"
-#include "fennelladder/edge/decision_options.hpp"
 #include "fennelladder/edge/loop_lag.hpp"
 #include "fennelladder/edge/target_connection.hpp"
+#include "fennelladder/edge/tuning_options.hpp"
 #include "fennelladder/edge/unreadable_objects.hpp"
 #include "fennelladder/mesh/freshness.hpp"
 #include "fennelladder/mesh/news_lateness.hpp"
@@ -53,7 +53,7 @@
 {
     node_tables(asio::io_context& context, const clock& clock_used,
                 adapter::host_settings given, std::uint64_t seed,
-                decision_options decide = {});
+                tuning_options tuning = {});
 
     instant now() const { return time.now(); }
 
@@ -66,11 +66,11 @@
     double capacity() const;
 
     /// Lets the target book know what the list says.
-    void list_changed();
+    void update_target_registry();
 
     /// Whether targets that are missing from the list may come back: nobody
     /// heard from the platform for long, or not until a moment ago.
-    bool list_in_doubt() const;
+    bool target_list_in_doubt() const;
 
     /// Whether no node that is heard has had the newest list for longer than
     /// news may take. Nodes ask the platform well before that, so it is so only
@@ -80,28 +80,28 @@
 
     /// Whether changes reach this node too late for it to give out work; see
     /// mesh/news_lateness.hpp.
-    bool news_are_late() const;
+    bool updates_are_late() const;
 
     /// How much longer than usual what comes to this host waits at present.
-    duration queueing() const;
+    duration queueing_delay() const;
 
     /// Takes a newer configuration into force; older ones are passed over.
     /// `text` is what to pass on to other nodes, `source` who brought it, for
     /// the log. True if it is in force now.
-    bool take_configuration(catalog::configuration_parts parts,
-                            std::string text, const std::string& source);
+    bool apply_configuration(catalog::configuration_parts parts,
+                             std::string text, const std::string& source);
 
     /// Takes a newer state of evacuations into force, `source` being who
     /// brought it, for the log. True if other data centres are evacuated now.
-    bool take_evacuations(catalog::evacuation_state state,
-                          const std::string& source);
+    bool apply_evacuations(catalog::evacuation_state state,
+                           const std::string& source);
 
     /// Lets those limits that hold for all nodes together know the hosts that
     /// share them. None do while this node can't know the others yet.
     void update_sharing_hosts();
 
     /// For how long a peer's word on its stock counts: a few beacons.
-    duration stock_word_lasts() const;
+    duration stock_update_lifetime() const;
 
     /// Of the configuration in force; 0 while none is known.
     catalog::configuration_version version() const;
@@ -119,13 +119,13 @@
     void confirm_evacuations(instant at);
 
     /// Notes whether a call to the platform was answered.
-    void note_contact(bool reached, const std::string& detail);
+    void note_platform_contact(bool reached, const std::string& detail);
 
     asio::io_context& io;
     const clock& time;
     random_source random;
     adapter::host_settings settings;
-    const decision_options options;
+    const tuning_options options;
     mesh::node_life life; ///< Of this process.
 
     /// Null until one is known.
@@ -144,29 +144,29 @@
     mesh::news_lateness lateness;
     instant targets_changed; ///< When the list last changed here.
     /// When a time ended in which nobody could say what the newest list was.
-    std::optional<instant> targets_gap_ended;
-    dispatch::target_book book;
+    std::optional<instant> confirmation_gap_ended;
+    dispatch::target_book registry;
     dispatch::retry_allowance retries;
     dispatch::poison_list poison;
     prepaid::purse purse;
     prepaid::loss_memory losses;
-    mesh::roster nodes;
+    mesh::roster peers;
     target_pool pool;
     telemetry::metrics metrics;
     unreadable_objects unreadable{metrics};
-    platform_contact contact;
+    platform_contact platform;
     /// From callers. As long a memory as it takes callers to ask for entry
     /// answers twice: their load then has followed the last answer.
-    decaying_rate requests_taken{seconds(4)};
+    decaying_rate accepted_requests{seconds(4)};
     loop_lag lag{tick_period};
     instant started; ///< When this process began to hear of others.
     bool leaving = false;
 
     /// Called whenever the platform answered any call; set by the feed.
-    std::function<void()> platform_answered = [] {};
+    std::function<void()> on_platform_answer = [] {};
 
     /// Tells the other nodes at once; set by the mesh.
-    std::function<void()> spread_news = [] {};
+    std::function<void()> broadcast_update = [] {};
 };
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/platform_client.hpp
+++ b/include/fennelladder/edge/platform_client.hpp
@@ -1,7 +1,7 @@
 // Calls the platform's store.
 //
 //     platform_reply got = co_await client.call(
-//         call_name::list_targets, http::verb::get, target, "", limit);
+//         platform_call::list_targets, http::verb::get, target, "", limit);
 //     switch (got.outcome) ...
 //
 // Each call takes a kept connection or dials one. A connection on which a
@@ -41,7 +41,7 @@
 std::string_view to_string(call_outcome value);
 
 /// What a call is for; each is counted, and paid for, by itself.
-enum class call_name : std::uint8_t
+enum class platform_call : std::uint8_t
 {
     list_configuration,
     watch_configuration,
@@ -55,15 +55,15 @@
     write_allotments
 };
 
-inline constexpr std::size_t call_names = 10;
+inline constexpr std::size_t platform_call_count = 10;
 
-std::string_view to_string(call_name value);
+std::string_view to_string(platform_call value);
 
 struct platform_reply
 {
     call_outcome outcome = call_outcome::no_reply;
     std::string body;
-    instant begun; ///< When the first bytes of the reply came.
+    instant first_byte_at; ///< When the first bytes of the reply came.
 
     /// The store took the call up: it neither turned this node away nor
     /// stayed silent.
@@ -82,7 +82,7 @@
     /// Waits until `limit` for the answer's head, and after that as long as
     /// bytes come. Connecting has a limit of its own, and no call lasts longer
     /// than ten seconds after `limit`.
-    awaitable<platform_reply> call(call_name name, http::verb method,
+    awaitable<platform_reply> call(platform_call name, http::verb method,
                                    std::string target, std::string body,
                                    duration limit);
 
@@ -91,7 +91,7 @@
     void log_calls();
 
     /// Closes the connections kept: the next calls dial.
-    void drop_kept() { idle_.clear(); }
+    void close_idle() { idle_.clear(); }
 
 private:
     struct connection
@@ -112,15 +112,16 @@
                                           const std::string& target,
                                           const std::string& body,
                                           duration limit);
-    void count(call_name name, const platform_reply& reply);
+    void count(platform_call name, const platform_reply& reply);
     awaitable<bool> connect(connection_ptr made);
     awaitable<bool> read_reply(connection_ptr with, reply_parser& parser,
                                socket_deadline& limit, instant until,
-                               instant& begun);
+                               instant& first_byte_at);
 
     node_tables& tables_;
     std::vector<connection_ptr> idle_;
-    std::array<std::uint32_t, call_names> made_{}; ///< Since the last line.
+    std::array<std::uint32_t, platform_call_count>
+        made_{}; ///< Since the last line.
     std::uint32_t conflicts_ = 0;
     std::uint32_t unanswered_ = 0;
 };
--- a/include/fennelladder/edge/platform_feed.hpp
+++ b/include/fennelladder/edge/platform_feed.hpp
@@ -86,7 +86,7 @@
     struct dated
     {
         Answer value;
-        instant begun;
+        instant first_byte_at;
     };
 
     using call_function = awaitable<bool> (platform_feed::*)();
@@ -115,7 +115,8 @@
     void confirm_configuration(instant at);
     void confirm_targets(instant at);
     void confirm_evacuations(instant at);
-    void take_evacuations(catalog::evacuation_state state, instant begun);
+    void apply_evacuations(catalog::evacuation_state state,
+                           instant first_byte_at);
 
     awaitable<void> follow_configuration();
     awaitable<void> follow_targets();
@@ -133,13 +134,13 @@
     awaitable<void> pause_after_failure(int& failures);
 
     bool is_in_force(const adapter::stored_object& object) const;
-    bool take_configuration(const adapter::stored_object& object);
-    void note(const platform_reply& reply, call_name name, call_kind kind);
+    bool apply_configuration(const adapter::stored_object& object);
+    void note(const platform_reply& reply, platform_call name, call_kind kind);
 
     /// Reads from the platform; no value if that failed, which is logged.
     template <class Answer>
     awaitable<std::optional<dated<Answer>>>
-    fetch(call_name name, call_kind kind, std::string target,
+    fetch(platform_call name, call_kind kind, std::string target,
           result<Answer> (*decode)(const std::string&));
 
     void note_unreadable(unreadable_kind kind,
--- a/include/fennelladder/edge/target_prober.hpp
+++ b/include/fennelladder/edge/target_prober.hpp
@@ -1,7 +1,7 @@
 // Finds out whether a target that broke off an answer has died, and blames
 // the requests that ran there if it has.
 //
-//     prober.broke(process, mark);
+//     prober.on_broken_answer(process, mark);
 //
 // A broken answer alone says little: answers get lost on targets that live.
 // The prober dials the target; a connection is kept for the next request, a
@@ -31,13 +31,13 @@
     explicit target_prober(node_tables& tables) : tables_(tables) {}
 
     /// An answer of `target` to the request broke off.
-    void broke(const catalog::target_process& target,
-               dispatch::request_mark mark);
+    void on_broken_answer(const catalog::target_process& target,
+                          dispatch::request_mark mark);
 
     /// The request had no whole answer for another reason. It says something of
     /// the request only if the process is known to be over.
-    void left_unfinished(const catalog::target_process& target,
-                         dispatch::request_mark mark);
+    void on_unfinished_request(const catalog::target_process& target,
+                               dispatch::request_mark mark);
 
 private:
     using suspect_list = std::vector<dispatch::request_mark>;
--- a/include/fennelladder/edge/decision_options.hpp
+++ b/include/fennelladder/edge/tuning_options.hpp
@@ -1,14 +1,14 @@
 // How a node of the fleet decides, as settings.
 //
-//     decision_options options;
-//     if (auto ok = set_decision(options, "stock.horizon=12000"); !ok) ...
+//     tuning_options options;
+//     if (auto ok = set_tuning_option(options, "stock.horizon=12000"); !ok) ...
 //
 // The defaults are what was measured best and are meant to be left alone; an
 // operator changes one to learn what a mechanism is worth on a fleet of his
 // own, or to switch it off.
 
-#ifndef FENNELLADDER_EDGE_DECISION_OPTIONS_HPP
-#define FENNELLADDER_EDGE_DECISION_OPTIONS_HPP
+#ifndef FENNELLADDER_EDGE_TUNING_OPTIONS_HPP
+#define FENNELLADDER_EDGE_TUNING_OPTIONS_HPP
 
 #include "fennelladder/base/error.hpp"
 #include "fennelladder/dispatch/attempt_policy.hpp"
@@ -31,40 +31,40 @@
     /// Waiting for tokens, as a part of the route's objective: enough to ask a
     /// few peers and the platform once. A caller that is refused sooner can
     /// come back sooner.
-    double token_wait = 0.125;
+    double token_wait_share = 0.125;
     /// When tokens are short for long, callers are asked to come back after
     /// this part of the time they have: by then the platform may be back.
-    double come_back = 1.0 / 3;
+    double retry_after_share = 1.0 / 3;
     /// Waiting for the first byte is given up after this many objectives, if
     /// the request may go elsewhere.
-    double patience = 2;
+    double first_byte_timeout_factor = 2;
     /// The same for a pause in a stream.
-    double pause_patience = 2;
+    double stream_idle_timeout_factor = 2;
 };
 
-struct decision_options
+struct tuning_options
 {
     prepaid::stock_options stock;
     prepaid::ration_options ration;
-    dispatch::target_book_options book;
+    dispatch::target_book_options registry;
     dispatch::attempt_policy_options attempts;
     dispatch::retry_allowance_options retries;
     entry_options entry;
     request_options requests;
     target_pool_options pool;
     /// Asks other nodes for tokens before a request is refused.
-    bool lends_tokens = true;
+    bool requests_peer_tokens = true;
     /// Refuses callers while news are late, see mesh/news_lateness.hpp.
-    bool minds_lateness = true;
+    bool refuses_when_late = true;
 };
 
 /// Takes a text of the form name=value; durations are whole milliseconds,
 /// switches 0 or 1. Fails with `invalid` on an unknown name, and on a value
 /// that isn't a number or is out of range. Pure.
-status set_decision(decision_options& options, std::string_view text);
+status set_tuning_option(tuning_options& options, std::string_view text);
 
-/// All names with their values, in the form that set_decision() takes.
-std::vector<std::string> list_decisions(const decision_options& options);
+/// All names with their values, in the form that set_tuning_option() takes.
+std::vector<std::string> list_tuning_options(const tuning_options& options);
 
 } // namespace fennelladder::edge
 
--- a/include/fennelladder/edge/news_exchange.hpp
+++ b/include/fennelladder/edge/update_exchange.hpp
@@ -1,9 +1,9 @@
 // Brings targets and configurations from nodes that know more, and serves
 // those that know less.
 //
-//     news_exchange news(tables, address);
+//     update_exchange news(tables, address);
 //     if (auto ok = news.start(); !ok) ...
-//     news.hear(beacon);                 // fetches what the node lacks
+//     news.on_heartbeat(beacon);                 // fetches what the node lacks
 //
 // Targets and configurations are fetched apart, one exchange each at a time,
 // so that a target's leaving never waits for a megabyte. Each goes on until
@@ -18,8 +18,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_EDGE_NEWS_EXCHANGE_HPP
-#define FENNELLADDER_EDGE_NEWS_EXCHANGE_HPP
+#ifndef FENNELLADDER_EDGE_UPDATE_EXCHANGE_HPP
+#define FENNELLADDER_EDGE_UPDATE_EXCHANGE_HPP
 
 #include "fennelladder/edge/node_tables.hpp"
 #include "fennelladder/edge/peer_stream.hpp"
@@ -33,11 +33,11 @@
 
 namespace fennelladder::edge {
 
-class news_exchange
+class update_exchange
 {
 public:
     /// `address`: where other nodes reach this one.
-    news_exchange(node_tables& tables, std::string address);
+    update_exchange(node_tables& tables, std::string address);
 
     /// Serves other nodes. Fails with the reason when the address can't be
     /// used.
@@ -45,7 +45,7 @@
 
     /// Fetches what the sender of the beacon knows beyond this node. The
     /// roster has to have heard it before.
-    void hear(const mesh::beacon& from);
+    void on_heartbeat(const mesh::beacon& from);
 
 private:
     /// The fetching of one part.
@@ -87,8 +87,8 @@
     mesh::fetch_end take_answer(const fetching& what, const std::string& bytes,
                                 const std::string& source);
     mesh::fetch_end take_targets(const mesh::sync_reply& reply);
-    mesh::fetch_end take_configuration(mesh::sync_reply reply,
-                                       const std::string& source);
+    mesh::fetch_end apply_configuration(mesh::sync_reply reply,
+                                        const std::string& source);
     void take_named(const mesh::sync_reply& reply);
     void note_unreadable(const std::string& source, const error& cause);
 
--- a/libs/edge/allotment_writer.cpp
+++ b/libs/edge/allotment_writer.cpp
@@ -90,7 +90,7 @@
         adapter::encode_object(record_name, catalog::revision(),
                                prepaid::to_json(prepaid::allotment_record()));
     const auto got = co_await client_.call(
-        call_name::write_allotments, http::verb::post,
+        platform_call::write_allotments, http::verb::post,
         adapter::create_target(object_kind::prepaid), body, call_limit);
     // Another node may have been first; both ways it's there to be read.
     const bool there = got.outcome == call_outcome::done ||
@@ -105,11 +105,11 @@
 awaitable<bool> allotment_writer::read_record()
 {
     const auto got = co_await client_.call(
-        call_name::read_allotments, http::verb::get,
+        platform_call::read_allotments, http::verb::get,
         adapter::object_target(object_kind::prepaid, record_name,
                                adapter::freshness::newest),
         "", call_limit);
-    tables_.note_contact(got.reached(), "allotment record");
+    tables_.note_platform_contact(got.reached(), "allotment record");
     if (got.outcome == call_outcome::missing && record_) {
         note_unreadable(catalog::revision(),
                         {error_code::not_found, "the record is gone"});
@@ -135,11 +135,11 @@
     const auto body = adapter::encode_object(
         record_name, wanted.expected, prepaid::to_json(wanted.draft.record));
     const auto got = co_await client_.call(
-        call_name::write_allotments, http::verb::put,
+        platform_call::write_allotments, http::verb::put,
         adapter::object_target(object_kind::prepaid, record_name,
                                adapter::freshness::newest),
         body, call_limit);
-    tables_.note_contact(got.reached(), "allotment record");
+    tables_.note_platform_contact(got.reached(), "allotment record");
     if (got.outcome == call_outcome::turned_away && !doubt_)
         co_return false;
     if (got.outcome != call_outcome::done &&
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -166,7 +166,7 @@
     connection_ = in_.tables.pool.make(to);
     in_.course.hold(connection_);
     // What the target answers waits like everything else on a full link.
-    const duration limit = connect_limit + 2 * in_.tables.queueing();
+    const duration limit = connect_limit + 2 * in_.tables.queueing_delay();
     const status made = co_await in_.tables.pool.open(connection_, limit);
     if (made && in_.course.stopped() == stop_reason::none)
         co_return true;
@@ -189,8 +189,9 @@
         end_by_error("before sending");
         return false;
     }
-    const bool late = in_.tables.news_are_late();
-    if (!late && in_.tables.book.may_use(in_.target.target, in_.tables.now()))
+    const bool late = in_.tables.updates_are_late();
+    if (!late &&
+        in_.tables.registry.may_use(in_.target.target, in_.tables.now()))
         return true;
     // Nothing was sent: the request goes elsewhere as if no connection could
     // be made, and the target isn't to blame.
@@ -317,7 +318,7 @@
         return;
     out_.first_byte = true;
     const instant now = in_.tables.now();
-    in_.tables.book.first_byte(in_.target, now - *out_.sent_at, now);
+    in_.tables.registry.first_byte(in_.target, now - *out_.sent_at, now);
 }
 
 /// Passes on the whole events that are there, behind the answer's head. False
@@ -349,7 +350,7 @@
         const bool more = co_await read_piece(parser, piece);
         if (!more)
             co_return;
-        in_.tables.book.heard(in_.target.process(), in_.tables.now());
+        in_.tables.registry.heard(in_.target.process(), in_.tables.now());
         if (!in_.events.feed(piece)) {
             end(attempt_end::garbled, target_evidence::broke, "events");
             co_return;
@@ -456,7 +457,7 @@
         return;
     said->is_latest =
         facts.signed_by_target && facts.request == in_.request.facts.id;
-    const dispatch::signal_news news = in_.tables.book.note_signals(
+    const dispatch::signal_news news = in_.tables.registry.note_signals(
         in_.target.process(), *said, in_.tables.now());
     log_signals(in_.target.target, *said, news, "answer");
 }
--- a/libs/edge/caller_server.cpp
+++ b/libs/edge/caller_server.cpp
@@ -322,7 +322,7 @@
             running->stop_without_caller(ended);
     });
     watch_caller(course);
-    tables_.requests_taken.add(1, tables_.now());
+    tables_.accepted_requests.add(1, tables_.now());
     co_await server_.driver_.serve(request, reply_, course);
     note_end(request, *course);
     course->end();
@@ -401,7 +401,7 @@
 {
     if (refusing_)
         return "the node leaves";
-    if (tables_.news_are_late())
+    if (tables_.updates_are_late())
         return "news are late";
     const bool full = served_now_ >= limits_.requests ||
                       body_bytes_ + request.body.size() > limits_.body_bytes;
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -51,7 +51,7 @@
                      adapter::host_settings settings, edge_node_options options,
                      telemetry::line_writer& log)
     : io_(io), options_(std::move(options)), log_(log),
-      tables_(io, time, std::move(settings), random_seed(), options_.decide),
+      tables_(io, time, std::move(settings), random_seed(), options_.tuning),
       client_(tables_), mesh_(tables_, peer_address(tables_.settings)),
       desk_(tables_, client_,
             [this](const std::string& address, const mesh::datagram& message) {
@@ -97,12 +97,12 @@
 
 status edge_node::start()
 {
-    mesh_.connect_desk(desk_);
+    mesh_.set_token_desk(desk_);
     if (auto ok = mesh_.start(); !ok)
         return ok;
     if (auto ok = start_servers(); !ok)
         return ok;
-    introduce_seeds();
+    add_seed_nodes();
     feed_.start();
     desk_.start();
     spawn(io_, watch_signals());
@@ -116,12 +116,12 @@
 
 /// Nodes reach each other at the first internal port, which is the same on all
 /// hosts.
-void edge_node::introduce_seeds()
+void edge_node::add_seed_nodes()
 {
     std::vector<std::string> seeds;
     for (const std::string& it : tables_.settings.seeds)
         seeds.push_back(with_port(it, tables_.settings.first_internal_port));
-    mesh_.introduce(seeds);
+    mesh_.add_peer_addresses(seeds);
 }
 
 awaitable<void> edge_node::watch_signals()
@@ -148,9 +148,9 @@
               {{"under_way", std::to_string(callers_.under_way())}});
     tables_.leaving = true;
     callers_.announce_leaving();
-    tables_.spread_news();
+    tables_.broadcast_update();
     asio::steady_timer timer(io_);
-    co_await sleep_on(timer, options_.serve_on);
+    co_await sleep_on(timer, options_.drain_delay);
     callers_.stop_accepting();
     callers_.refuse_new();
     while (callers_.under_way() > 0 && tables_.now() < end)
@@ -180,7 +180,7 @@
     tables_.settings.store_address = read->store_address;
     tables_.settings.seeds = read->seeds;
     tables_.settings.stop_grace = read->stop_grace;
-    introduce_seeds();
+    add_seed_nodes();
     log_event(event::settings_reloaded, {{"path", options_.settings_path}});
 }
 
@@ -244,8 +244,8 @@
     if (tables_.state() == mesh::node_state::ready)
         out.push_back({settings.listen.callers, settings.data_center,
                        settings.region, tables_.capacity(),
-                       tables_.requests_taken.at(now)});
-    for (const mesh::node_row* it : tables_.nodes.alive(now)) {
+                       tables_.accepted_requests.at(now)});
+    for (const mesh::node_row* it : tables_.peers.alive(now)) {
         const mesh::beacon& last = it->last;
         if (last.state == mesh::node_state::ready &&
             !last.caller_address.empty())
@@ -261,7 +261,7 @@
     if (asked.path != adapter::entry_path)
         return {404, "text/plain", "no such path\n"};
     const auto question = adapter::read_entry_question(asked.query);
-    entry_asker asker{question.data_center, question.region, {}};
+    entry_query asker{question.data_center, question.region, {}};
     if (tables_.config)
         asker.regions = tables_.config->regions_of_host(question.host_name);
     const auto addresses =
@@ -281,9 +281,9 @@
         .set(static_cast<std::int64_t>(callers_.under_way()));
     metrics.gauge_of("fennelladder_nodes_alive")
         .set(static_cast<std::int64_t>(
-            tables_.nodes.alive(tables_.now()).size() + 1));
+            tables_.peers.alive(tables_.now()).size() + 1));
     metrics.gauge_of("fennelladder_platform_reached")
-        .set(tables_.contact.reached ? 1 : 0);
+        .set(tables_.platform.reached ? 1 : 0);
     metrics.gauge_of("fennelladder_configuration_version")
         .set(tables_.config
                  ? static_cast<std::int64_t>(tables_.config->version().value())
--- a/libs/edge/entry_planner.cpp
+++ b/libs/edge/entry_planner.cpp
@@ -29,8 +29,8 @@
     std::size_t kept = 0;
     for (const entry_node& it : nodes) {
         const bool equal = kept > 0 && mesh::is_large(it.capacity, largest);
-        const bool enough = kept >= options.enough_capable &&
-                            carried >= load * options.headroom;
+        const bool enough =
+            kept >= options.min_nodes && carried >= load * options.headroom;
         if (enough && !equal)
             break;
         if (!equal)
@@ -51,13 +51,13 @@
 }
 
 std::vector<entry_node> nearest(const std::vector<entry_node>& nodes,
-                                const entry_asker& asker,
+                                const entry_query& asker,
                                 const entry_options& options)
 {
     std::vector<entry_node> out = those_that(nodes, [&](const auto& it) {
         return it.data_center == asker.data_center;
     });
-    if (out.size() >= options.enough_near)
+    if (out.size() >= options.min_near_nodes)
         return out;
     out = those_that(nodes,
                      [&](const auto& it) { return it.region == asker.region; });
@@ -78,13 +78,13 @@
 }
 
 std::vector<std::string> plan_entry(const std::vector<entry_node>& nodes,
-                                    const entry_asker& asker,
+                                    const entry_query& asker,
                                     const entry_options& options)
 {
     std::vector<entry_node> named = nearest(nodes, asker, options);
     keep_capable(named, options);
-    if (named.size() > options.most_addresses)
-        named.resize(options.most_addresses);
+    if (named.size() > options.max_addresses)
+        named.resize(options.max_addresses);
     std::vector<std::string> out;
     out.reserve(named.size());
     for (entry_node& it : named)
--- a/libs/edge/entry_planner_test.cpp
+++ b/libs/edge/entry_planner_test.cpp
@@ -9,7 +9,7 @@
 
 const region_id home("r");
 
-entry_asker asker_in(const char* data_center)
+entry_query asker_in(const char* data_center)
 {
     return {data_center_id(data_center), home, {}};
 }
@@ -59,7 +59,7 @@
 TEST(entry_planner, small_nodes_are_spared_while_the_large_ones_suffice)
 {
     const data_center_id here("a");
-    const entry_asker asker = asker_in("a");
+    const entry_query asker = asker_in("a");
     const auto count_with = [&](int large, double load) {
         std::vector<entry_node> all;
         for (int i = 0; i < 20; ++i)
--- a/libs/edge/mesh_node.cpp
+++ b/libs/edge/mesh_node.cpp
@@ -85,7 +85,7 @@
       lag_gauge_(tables.metrics.gauge_of(lag_metric))
 {}
 
-void mesh_node::connect_desk(token_desk& desk)
+void mesh_node::set_token_desk(token_desk& desk)
 {
     desk_ = &desk;
 }
@@ -104,19 +104,19 @@
     }
     if (auto ok = news_.start(); !ok)
         return ok;
-    tables_.spread_news = [this] { spread(); };
+    tables_.broadcast_update = [this] { spread(); };
     spawn(tables_.io, receive());
     spawn(tables_.io, tick());
     return {};
 }
 
-void mesh_node::introduce(const std::vector<std::string>& addresses)
+void mesh_node::add_peer_addresses(const std::vector<std::string>& addresses)
 {
     std::vector<std::string> others;
     for (const std::string& it : addresses)
         if (it != address_ && parse_endpoint(it))
             others.push_back(it);
-    tables_.nodes.add_addresses(others);
+    tables_.peers.add_addresses(others);
 }
 
 // Sending.
@@ -159,8 +159,8 @@
     out.peer_address = address_;
     out.configuration = tables_.version();
     out.targets_changed = tables_.targets.latest_change();
-    out.platform_reached = tables_.contact.reached;
-    out.requests_per_second = tables_.requests_taken.at(tables_.now());
+    out.platform_reached = tables_.platform.reached;
+    out.requests_per_second = tables_.accepted_requests.at(tables_.now());
     out.capacity = tables_.capacity();
     out.targets_as_of = tables_.targets.as_of();
     if (tables_.evacuations.known())
@@ -170,14 +170,14 @@
     out.targets_age = tables_.targets_freshness.age(tables_.now());
     out.up_for = tables_.now() - tables_.started;
     out.fleets_lost = tables_.losses.known(tables_.now());
-    out.heard = tables_.nodes.heard_lately(tables_.now());
-    out.load = tables_.book.own_load();
+    out.heard = tables_.peers.heard_lately(tables_.now());
+    out.load = tables_.registry.own_load();
     keep_largest(out.load, load_limit, &dispatch::target_load::running);
     if (desk_ != nullptr)
         out.stock = desk_->own_stock();
     keep_largest(out.stock, stock_limit, &mesh::token_stock::free);
-    out.limits = newest_limits(tables_.book.own_limits(tables_.now()));
-    out.leaving = tables_.book.told_leaving(leaving_limit, tables_.now());
+    out.limits = newest_limits(tables_.registry.own_limits(tables_.now()));
+    out.leaving = tables_.registry.told_leaving(leaving_limit, tables_.now());
     out.poison =
         tables_.poison.recent(poison_span, poison_limit, tables_.now());
     return out;
@@ -187,10 +187,10 @@
 void mesh_node::greet(const std::string& address)
 {
     mesh::datagram message;
-    mesh::roster& nodes = tables_.nodes;
+    mesh::roster& peers = tables_.peers;
     message.hello = own_beacon();
     message.hello->introduced =
-        nodes.introductions(nodes.options().introductions, tables_.now());
+        peers.introductions(peers.options().introductions, tables_.now());
     send_to_all({address}, message, traffic::greetings);
 }
 
@@ -199,10 +199,10 @@
     if (addresses.empty())
         return;
     mesh::datagram message;
-    mesh::roster& nodes = tables_.nodes;
+    mesh::roster& peers = tables_.peers;
     message.hello = own_beacon();
     message.hello->introduced =
-        nodes.introductions(nodes.options().introductions_each, tables_.now());
+        peers.introductions(peers.options().introductions_each, tables_.now());
     send_to_all(addresses, message, traffic::beacons);
 }
 
@@ -231,9 +231,9 @@
 
 void mesh_node::send_due_beacons()
 {
-    std::vector<std::string> due = tables_.nodes.due(tables_.now());
+    std::vector<std::string> due = tables_.peers.due(tables_.now());
     std::set<std::string> behind;
-    for (const auto& [host, row] : tables_.nodes.rows())
+    for (const auto& [host, row] : tables_.peers.rows())
         if (missed_news(row))
             behind.insert(row.last.peer_address);
     const auto first_behind = std::stable_partition(
@@ -263,7 +263,7 @@
     co_await sleep_on(timer, at_once ? duration(0) : news_pause - rested);
     spreading_ = false;
     last_spread_ = tables_.now();
-    send_news(tables_.nodes.all_addresses());
+    send_news(tables_.peers.all_addresses());
 }
 
 void mesh_node::log_traffic()
@@ -284,7 +284,7 @@
 /// soon as they hear.
 void mesh_node::note_lateness()
 {
-    const bool late = tables_.news_are_late();
+    const bool late = tables_.updates_are_late();
     if (late == was_late_)
         return;
     was_late_ = late;
@@ -302,7 +302,7 @@
         note_tick(tables_.now());
         note_lateness();
         send_due_beacons();
-        tables_.nodes.forget_old(tables_.now());
+        tables_.peers.forget_old(tables_.now());
         co_await sleep_on(timer, tick_period);
     }
 }
@@ -359,8 +359,8 @@
 void mesh_node::take_beacon(const mesh::beacon& from)
 {
     const instant now = tables_.now();
-    const mesh::roster_news news = tables_.nodes.hear(from, now);
-    introduce(from.introduced);
+    const mesh::roster_news news = tables_.peers.hear(from, now);
+    add_peer_addresses(from.introduced);
     if (news.died)
         note_death(from.host, now);
     hear_losses(from, now);
@@ -378,18 +378,18 @@
                   {{"node", from.host.str()},
                    {"state", std::to_string(static_cast<int>(from.state))}});
     if (from.target_news && tables_.targets.take_news(*from.target_news))
-        tables_.list_changed();
+        tables_.update_target_registry();
     if (from.evacuations)
-        tables_.take_evacuations(*from.evacuations, from.host.str());
+        tables_.apply_evacuations(*from.evacuations, from.host.str());
     take_signals(from, now - news.delay.value_or(duration(0)));
     if (!news.late)
         take_freshness(from, news.delay, now);
-    news_.hear(from);
+    news_.on_heartbeat(from);
 }
 
 void mesh_node::note_death(const host_id& host, instant now)
 {
-    tables_.losses.note_death(tables_.nodes.host_count(), now);
+    tables_.losses.note_death(tables_.peers.host_count(), now);
     if (desk_ != nullptr)
         desk_->on_death(host);
 }
@@ -406,7 +406,7 @@
 /// change of a target made its targets look idle and its tokens gone.
 void mesh_node::take_holdings(const mesh::beacon& from)
 {
-    tables_.book.peer_load(from.host, from.load);
+    tables_.registry.peer_load(from.host, from.load);
     if (desk_ != nullptr)
         desk_->on_stock(from);
 }
@@ -414,10 +414,10 @@
 void mesh_node::take_signals(const mesh::beacon& from, instant sent)
 {
     for (const auto& it :
-         tables_.book.peer_leaving(from.leaving, tables_.now()))
+         tables_.registry.peer_leaving(from.leaving, tables_.now()))
         log_signals(it.id, {.leaving = true}, {.leaving = true},
                     from.host.str());
-    for (const auto& it : tables_.book.peer_limits(from.limits, sent))
+    for (const auto& it : tables_.registry.peer_limits(from.limits, sent))
         log_signals(it.target, {.rate_limit = it.rate}, {.rate_limit = true},
                     from.host.str());
 }
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -76,15 +76,15 @@
 
 node_tables::node_tables(asio::io_context& context, const clock& clock_used,
                          adapter::host_settings given, std::uint64_t seed,
-                         decision_options decide)
+                         tuning_options tuning)
     : io(context), time(clock_used), random(seed), settings(std::move(given)),
-      options(std::move(decide)), life(random.bits() >> 1),
+      options(std::move(tuning)), life(random.bits() >> 1),
       lateness(settings.news_bound()),
-      book(book_options(settings, options.book)),
+      registry(book_options(settings, options.registry)),
       retries(retry_options(settings, options.retries)), poison({}),
       losses(settings.first_start, clock_used.now(),
              {.acquaintance = acquaintance}),
-      nodes(settings.host, {}), pool(context, options.pool),
+      peers(settings.host, {}), pool(context, options.pool),
       started(clock_used.now())
 {}
 
@@ -102,12 +102,13 @@
         return mesh::node_state::leaving;
     if (!ready())
         return mesh::node_state::starting;
-    return news_are_late() ? mesh::node_state::late : mesh::node_state::ready;
+    return updates_are_late() ? mesh::node_state::late
+                              : mesh::node_state::ready;
 }
 
-bool node_tables::news_are_late() const
+bool node_tables::updates_are_late() const
 {
-    if (!options.minds_lateness)
+    if (!options.refuses_when_late)
         return false;
     const auto targets_age = targets_freshness.age(now());
     const auto configuration_age = configuration_freshness.age(now());
@@ -127,10 +128,10 @@
 /// all while others confirm their list, and one call may fail for many
 /// reasons. Entries lapse only while the platform itself is away, and then
 /// nobody's list is confirmed.
-bool node_tables::list_in_doubt() const
+bool node_tables::target_list_in_doubt() const
 {
     const bool just_back =
-        targets_gap_ended && now() - *targets_gap_ended < list_doubt;
+        confirmation_gap_ended && now() - *confirmation_gap_ended < list_doubt;
     return just_back || targets_unconfirmed();
 }
 
@@ -140,16 +141,16 @@
     return !age || *age > settings.news_bound();
 }
 
-duration node_tables::queueing() const
+duration node_tables::queueing_delay() const
 {
     return lateness.longest_delay(now()).value_or(duration(0));
 }
 
-void node_tables::list_changed()
+void node_tables::update_target_registry()
 {
-    const bool in_doubt = list_in_doubt();
+    const bool in_doubt = target_list_in_doubt();
     targets_changed = now();
-    const auto replaced = book.sync(targets.entries(), in_doubt, now());
+    const auto replaced = registry.sync(targets.entries(), in_doubt, now());
     for (const catalog::target_entry& it : replaced)
         pool.drop_idle({it.process(), it.address});
     log_event(event::targets_changed,
@@ -158,9 +159,9 @@
                {"in_doubt", in_doubt ? "true" : "false"}});
 }
 
-bool node_tables::take_configuration(catalog::configuration_parts parts,
-                                     std::string text,
-                                     const std::string& source)
+bool node_tables::apply_configuration(catalog::configuration_parts parts,
+                                      std::string text,
+                                      const std::string& source)
 {
     if (config != nullptr && parts.version <= config->version())
         return false;
@@ -170,7 +171,7 @@
     configuration_announced.reset();
     config = std::make_shared<const catalog::configuration>(std::move(parts));
     config_text = std::move(text);
-    book.set_cold_traits(cold_traits_of(*config, settings));
+    registry.set_cold_traits(cold_traits_of(*config, settings));
     tokens prepaid;
     for (const catalog::team& it : config->parts().teams)
         prepaid += it.prepaid.value_or(tokens(0));
@@ -185,13 +186,13 @@
     return true;
 }
 
-bool node_tables::take_evacuations(catalog::evacuation_state state,
-                                   const std::string& source)
+bool node_tables::apply_evacuations(catalog::evacuation_state state,
+                                    const std::string& source)
 {
     if (!evacuations.replace_all(std::move(state)))
         return false;
     const auto& places = evacuations.state().data_centers;
-    const std::size_t back = book.set_evacuated(places, now());
+    const std::size_t back = registry.set_evacuated(places, now());
     std::string names;
     for (const data_center_id& it : places)
         names += (names.empty() ? "" : " ") + it.str();
@@ -208,21 +209,21 @@
 void node_tables::update_sharing_hosts()
 {
     const bool is_acquainted = now() - started >= acquaintance &&
-                               (!nodes.rows().empty() || settings.is_alone());
+                               (!peers.rows().empty() || settings.is_alone());
     if (!is_acquainted) {
-        book.set_carrier_hosts({});
+        registry.set_carrier_hosts({});
         retries.set_hosts(0, now());
         return;
     }
-    book.set_carrier_hosts(nodes.large_hosts(capacity()),
-                           nodes.small_hosts(capacity()));
-    retries.set_hosts(nodes.host_count(), now());
+    registry.set_carrier_hosts(peers.large_hosts(capacity()),
+                               peers.small_hosts(capacity()));
+    retries.set_hosts(peers.host_count(), now());
 }
 
-duration node_tables::stock_word_lasts() const
+duration node_tables::stock_update_lifetime() const
 {
     constexpr int beacons = 5;
-    return nodes.period() * beacons;
+    return peers.period() * beacons;
 }
 
 catalog::configuration_version node_tables::version() const
@@ -255,7 +256,7 @@
     const bool was_old = targets_unconfirmed();
     fleet_targets_freshness.confirm(at);
     if (was_old && !targets_unconfirmed())
-        targets_gap_ended = now();
+        confirmation_gap_ended = now();
 }
 
 void node_tables::confirm_evacuations(instant at)
@@ -264,16 +265,16 @@
         evacuations_freshness.confirm(at);
 }
 
-void node_tables::note_contact(bool reached, const std::string& detail)
+void node_tables::note_platform_contact(bool reached, const std::string& detail)
 {
-    if (reached != contact.reached) {
-        contact = {reached, now()};
+    if (reached != platform.reached) {
+        platform = {reached, now()};
         log_event(reached ? event::platform_well : event::platform_out,
                   {{"detail", detail}});
-        spread_news();
+        broadcast_update();
     }
     if (reached)
-        platform_answered();
+        on_platform_answer();
 }
 
 } // namespace fennelladder::edge
--- a/libs/edge/platform_client.cpp
+++ b/libs/edge/platform_client.cpp
@@ -46,7 +46,7 @@
     }
 }
 
-constexpr std::array<std::string_view, call_names> names{
+constexpr std::array<std::string_view, platform_call_count> names{
     "list_configuration", "watch_configuration", "list_targets",
     "watch_targets",      "list_evacuations",    "watch_evacuations",
     "list_nodes",         "register_node",       "read_allotments",
@@ -73,7 +73,7 @@
     return "unknown";
 }
 
-std::string_view to_string(call_name value)
+std::string_view to_string(platform_call value)
 {
     return names[static_cast<std::size_t>(value)];
 }
@@ -102,7 +102,8 @@
 awaitable<bool> platform_client::read_reply(connection_ptr with,
                                             reply_parser& parser,
                                             socket_deadline& limit,
-                                            instant until, instant& begun)
+                                            instant until,
+                                            instant& first_byte_at)
 {
     const instant end = until + longest_transfer;
     net_error ec;
@@ -112,8 +113,8 @@
         if (ec)
             co_return false;
         const instant now = tables_.now();
-        if (begun == instant())
-            begun = now;
+        if (first_byte_at == instant())
+            first_byte_at = now;
         const instant next = now + progress_limit;
         limit.close_after(std::min(std::max(until, next), end) - now);
     }
@@ -152,7 +153,7 @@
     reply_parser parser;
     parser.body_limit(largest_reply);
     const bool whole =
-        co_await read_reply(with, parser, silence, until, out.begun);
+        co_await read_reply(with, parser, silence, until, out.first_byte_at);
     silence.clear();
     with->silent = silence.has_closed();
     if (!whole)
@@ -166,7 +167,7 @@
     co_return out;
 }
 
-void platform_client::count(call_name name, const platform_reply& reply)
+void platform_client::count(platform_call name, const platform_reply& reply)
 {
     ++made_[static_cast<std::size_t>(name)];
     conflicts_ += reply.outcome == call_outcome::conflict ? 1 : 0;
@@ -180,23 +181,23 @@
 
 void platform_client::log_calls()
 {
-    const auto made = [this](call_name name) {
+    const auto made = [this](platform_call name) {
         return std::to_string(made_[static_cast<std::size_t>(name)]);
     };
     if (std::ranges::all_of(made_, [](std::uint32_t n) { return n == 0; }))
         return;
     telemetry::log_event(
         telemetry::event::platform_calls,
-        {{"list_configuration", made(call_name::list_configuration)},
-         {"watch_configuration", made(call_name::watch_configuration)},
-         {"list_targets", made(call_name::list_targets)},
-         {"watch_targets", made(call_name::watch_targets)},
-         {"list_evacuations", made(call_name::list_evacuations)},
-         {"watch_evacuations", made(call_name::watch_evacuations)},
-         {"list_nodes", made(call_name::list_nodes)},
-         {"register_node", made(call_name::register_node)},
-         {"read_allotments", made(call_name::read_allotments)},
-         {"write_allotments", made(call_name::write_allotments)},
+        {{"list_configuration", made(platform_call::list_configuration)},
+         {"watch_configuration", made(platform_call::watch_configuration)},
+         {"list_targets", made(platform_call::list_targets)},
+         {"watch_targets", made(platform_call::watch_targets)},
+         {"list_evacuations", made(platform_call::list_evacuations)},
+         {"watch_evacuations", made(platform_call::watch_evacuations)},
+         {"list_nodes", made(platform_call::list_nodes)},
+         {"register_node", made(platform_call::register_node)},
+         {"read_allotments", made(platform_call::read_allotments)},
+         {"write_allotments", made(platform_call::write_allotments)},
          {"conflicts", std::to_string(conflicts_)},
          {"unanswered", std::to_string(unanswered_)}});
     made_ = {};
@@ -205,7 +206,7 @@
 }
 
 awaitable<platform_reply>
-platform_client::call(call_name name, http::verb method, std::string target,
+platform_client::call(platform_call name, http::verb method, std::string target,
                       std::string body, duration limit)
 {
     connection_ptr with;
@@ -219,7 +220,7 @@
     platform_reply out =
         co_await exchange_on(with, method, target, body, limit);
     if (with->silent)
-        drop_kept();
+        close_idle();
     count(name, out);
     co_return out;
 }
--- a/libs/edge/platform_feed.cpp
+++ b/libs/edge/platform_feed.cpp
@@ -62,7 +62,7 @@
 
 void platform_feed::start()
 {
-    tables_.platform_answered = [this] { on_answer(); };
+    tables_.on_platform_answer = [this] { on_answer(); };
     configuration_.tried_at = tables_.now();
     spawn(tables_.io, follow_targets());
     spawn(tables_.io, follow_configuration());
@@ -74,12 +74,12 @@
 
 /// A watch that isn't answered says little of the platform: the connection may
 /// be what is broken. The listing that follows it says more.
-void platform_feed::note(const platform_reply& reply, call_name name,
+void platform_feed::note(const platform_reply& reply, platform_call name,
                          call_kind kind)
 {
     const std::string what(to_string(name));
     if (reply.reached() || kind == call_kind::listing)
-        tables_.note_contact(reply.reached(), what);
+        tables_.note_platform_contact(reply.reached(), what);
     if (!reply.reached())
         log_event(event::platform_call_failed,
                   {{"call", what},
@@ -90,7 +90,7 @@
 
 std::size_t platform_feed::rank(const news_kind& kind, bool reached) const
 {
-    return tables_.nodes.rank(kind.what, reached, tables_.capacity(),
+    return tables_.peers.rank(kind.what, reached, tables_.capacity(),
                               tables_.now());
 }
 
@@ -98,8 +98,8 @@
 mesh::news_view platform_feed::view_of(const news_kind& kind) const
 {
     mesh::news_view out;
-    out.rank = rank(kind, tables_.contact.reached);
-    out.size = tables_.nodes.place_by_size(tables_.capacity(), tables_.now());
+    out.rank = rank(kind, tables_.platform.reached);
+    out.size = tables_.peers.place_by_size(tables_.capacity(), tables_.now());
     return out;
 }
 
@@ -129,7 +129,7 @@
 /// comes: targets wait for nothing but their own pause.
 bool platform_feed::waits_for_targets(const news_kind& kind) const
 {
-    if (tables_.contact.reached || &kind != &configuration_)
+    if (tables_.platform.reached || &kind != &configuration_)
         return false;
     return targets_.reason != mesh::watch_reason::none &&
            tables_.now() - kind.tried_at < longest_hold;
@@ -146,7 +146,7 @@
     kind.failures = std::min(kind.failures + 1, most_failures);
     kind.next_try = tables_.now() + mesh::pause_after_failures(
                                         tables_.random, kind.failures, reason);
-    if (tables_.contact.reached)
+    if (tables_.platform.reached)
         return;
     cut_off_ = true;
     for (news_kind* it : {&configuration_, &targets_, &evacuations_}) {
@@ -167,7 +167,7 @@
         return;
     }
     // A kept connection may be what is broken; a new one shows at once.
-    client_.drop_kept();
+    client_.close_idle();
     tables_.metrics.counter_of(stale_metric, {{"kind", kind.what}}).add();
     const duration none(0);
     log_event(
@@ -176,7 +176,7 @@
          {"age_ms", milliseconds_text(view.age.value_or(none))},
          {"announced_ms", milliseconds_text(view.announced_for.value_or(none))},
          {"rank", std::to_string(view.rank)},
-         {"platform_reached", tables_.contact.reached ? "true" : "false"}});
+         {"platform_reached", tables_.platform.reached ? "true" : "false"}});
 }
 
 /// True if a watch failed so soon after its listing that the next listing has
@@ -246,7 +246,7 @@
     kind.duty.answered(elapsed, kind.age_before, tables_.random);
     // Others are about to ask as well; hearing of it spares them the call.
     if (kind.age_before > kind.stale_after)
-        tables_.spread_news();
+        tables_.broadcast_update();
 }
 
 /// Makes a call that costs little where this node would watch if it reached
@@ -262,7 +262,7 @@
             evacuations_.reason != mesh::watch_reason::none;
         const std::size_t best =
             std::min(rank(configuration_, true), rank(targets_, true));
-        if (!tries_anyway && mesh::should_probe(tables_.contact.reached, best))
+        if (!tries_anyway && mesh::should_probe(tables_.platform.reached, best))
             (void)co_await list_nodes();
     }
 }
--- a/libs/edge/platform_feed_configuration.cpp
+++ b/libs/edge/platform_feed_configuration.cpp
@@ -35,7 +35,7 @@
            *version <= tables_.config->version();
 }
 
-bool platform_feed::take_configuration(const adapter::stored_object& object)
+bool platform_feed::apply_configuration(const adapter::stored_object& object)
 {
     if (object.name != adapter::configuration_name || is_in_force(object))
         return true;
@@ -44,9 +44,9 @@
         note_unreadable(unreadable_kind::configuration, object, parts.error());
         return false;
     }
-    if (tables_.take_configuration(std::move(*parts), object.content->dump(),
-                                   "platform"))
-        tables_.spread_news();
+    if (tables_.apply_configuration(std::move(*parts), object.content->dump(),
+                                    "platform"))
+        tables_.broadcast_update();
     return true;
 }
 
@@ -55,14 +55,14 @@
     std::string target =
         adapter::list_target(object_kind::configuration, freshness::newest, "");
     const auto page =
-        co_await fetch(call_name::list_configuration, call_kind::listing,
+        co_await fetch(platform_call::list_configuration, call_kind::listing,
                        target, adapter::decode_page);
     if (!page)
         co_return false;
     for (const adapter::stored_object& it : page->value.objects)
-        take_configuration(it);
+        apply_configuration(it);
     configuration_as_of_ = page->value.as_of;
-    confirm_configuration(page->begun);
+    confirm_configuration(page->first_byte_at);
     // The operator may not have written the first one yet.
     co_return tables_.config != nullptr;
 }
@@ -72,15 +72,15 @@
     std::string target = adapter::watch_target(
         object_kind::configuration, configuration_as_of_, limits_.watch_wait);
     const auto news =
-        co_await fetch(call_name::watch_configuration, call_kind::watch, target,
-                       adapter::decode_watch);
+        co_await fetch(platform_call::watch_configuration, call_kind::watch,
+                       target, adapter::decode_watch);
     if (!news)
         co_return false;
     for (const adapter::object_event& it : news->value.events)
         if (!it.gone)
-            take_configuration(it.object);
+            apply_configuration(it.object);
     configuration_as_of_ = news->value.as_of;
-    confirm_configuration(news->begun);
+    confirm_configuration(news->first_byte_at);
     co_return true;
 }
 
--- a/libs/edge/platform_feed_evacuations.cpp
+++ b/libs/edge/platform_feed_evacuations.cpp
@@ -28,15 +28,15 @@
     tables_.confirm_evacuations(at);
 }
 
-void platform_feed::take_evacuations(catalog::evacuation_state state,
-                                     instant begun)
+void platform_feed::apply_evacuations(catalog::evacuation_state state,
+                                      instant first_byte_at)
 {
     if (state.data_centers.size() > catalog::most_evacuations)
         note_unreadable(unreadable_kind::evacuation, {},
                         {error_code::corrupt, "too many"});
-    if (tables_.take_evacuations(std::move(state), "platform"))
-        tables_.spread_news();
-    confirm_evacuations(begun);
+    if (tables_.apply_evacuations(std::move(state), "platform"))
+        tables_.broadcast_update();
+    confirm_evacuations(first_byte_at);
 }
 
 awaitable<bool> platform_feed::list_evacuations()
@@ -44,8 +44,8 @@
     std::string target =
         adapter::list_target(object_kind::evacuations, freshness::newest, "");
     const auto page =
-        co_await fetch(call_name::list_evacuations, call_kind::listing, target,
-                       adapter::decode_page);
+        co_await fetch(platform_call::list_evacuations, call_kind::listing,
+                       target, adapter::decode_page);
     if (!page)
         co_return false;
     catalog::evacuation_state state{{}, page->value.as_of};
@@ -56,7 +56,7 @@
             note_unreadable(unreadable_kind::evacuation, it,
                             {error_code::corrupt, "no name"});
     }
-    take_evacuations(std::move(state), page->begun);
+    apply_evacuations(std::move(state), page->first_byte_at);
     co_return true;
 }
 
@@ -67,8 +67,8 @@
     std::string target = adapter::watch_target(
         object_kind::evacuations, known.as_of(), limits_.watch_wait);
     const auto news =
-        co_await fetch(call_name::watch_evacuations, call_kind::watch, target,
-                       adapter::decode_watch);
+        co_await fetch(platform_call::watch_evacuations, call_kind::watch,
+                       target, adapter::decode_watch);
     if (!news)
         co_return false;
     std::vector<catalog::evacuation_change> changes;
@@ -79,7 +79,7 @@
             list_soon(evacuations_);
     }
     known.apply(changes, news->value.as_of);
-    take_evacuations(known.state(), news->begun);
+    apply_evacuations(known.state(), news->first_byte_at);
     co_return true;
 }
 
--- a/libs/edge/platform_feed_fetch.hpp
+++ b/libs/edge/platform_feed_fetch.hpp
@@ -15,7 +15,7 @@
 
 template <class Answer>
 awaitable<std::optional<platform_feed::dated<Answer>>>
-platform_feed::fetch(call_name name, call_kind kind, std::string target,
+platform_feed::fetch(platform_call name, call_kind kind, std::string target,
                      result<Answer> (*decode)(const std::string&))
 {
     const duration limit = kind == call_kind::watch
@@ -33,7 +33,7 @@
                                 catalog::revision(), read.error());
         co_return std::nullopt;
     }
-    co_return dated<Answer>{std::move(*read), got.begun};
+    co_return dated<Answer>{std::move(*read), got.first_byte_at};
 }
 
 } // namespace fennelladder::edge
--- a/libs/edge/platform_feed_nodes.cpp
+++ b/libs/edge/platform_feed_nodes.cpp
@@ -43,8 +43,8 @@
         std::string target = adapter::list_target(
             object_kind::nodes, freshness::maybe_stale, after);
         const auto page =
-            co_await fetch(call_name::list_nodes, call_kind::listing, target,
-                           adapter::decode_page);
+            co_await fetch(platform_call::list_nodes, call_kind::listing,
+                           target, adapter::decode_page);
         if (!page)
             co_return false;
         const std::string before = after;
@@ -55,7 +55,7 @@
             if (!it.name.empty())
                 after = it.name;
         }
-        mesh_.introduce(addresses);
+        mesh_.add_peer_addresses(addresses);
         more = page->value.more && after != before;
     }
     co_return true;
@@ -72,17 +72,17 @@
         std::string body =
             adapter::encode_object(name, catalog::revision(), content);
         auto got =
-            co_await client_.call(call_name::register_node, http::verb::post,
-                                  target, body, list_limit);
+            co_await client_.call(platform_call::register_node,
+                                  http::verb::post, target, body, list_limit);
         if (got.outcome == call_outcome::conflict) {
             const auto there = adapter::decode_object(got.body);
             if (there && there->content && *there->content == content)
                 break;
             target = adapter::object_target(object_kind::nodes, name,
                                             freshness::newest);
-            got =
-                co_await client_.call(call_name::register_node, http::verb::put,
-                                      target, body, list_limit);
+            got = co_await client_.call(platform_call::register_node,
+                                        http::verb::put, target, body,
+                                        list_limit);
         }
         if (got.outcome == call_outcome::done)
             break;
--- a/libs/edge/platform_feed_targets.cpp
+++ b/libs/edge/platform_feed_targets.cpp
@@ -63,14 +63,14 @@
     std::vector<catalog::target_change> entries;
     std::string after;
     std::optional<catalog::revision> as_of;
-    instant begun;
+    instant first_byte_at;
     for (bool more = true; more;) {
         const std::string before = after;
         std::string target = adapter::list_target(object_kind::targets,
                                                   freshness::newest, after);
         const auto page =
-            co_await fetch(call_name::list_targets, call_kind::listing, target,
-                           adapter::decode_page);
+            co_await fetch(platform_call::list_targets, call_kind::listing,
+                           target, adapter::decode_page);
         if (!page)
             co_return false;
         for (const adapter::stored_object& it : page->value.objects) {
@@ -83,7 +83,7 @@
         // from there.
         if (!as_of) {
             as_of = page->value.as_of;
-            begun = page->begun;
+            first_byte_at = page->first_byte_at;
         }
         more = page->value.more && !page->value.objects.empty();
         // Nothing on the page says where to go on.
@@ -94,10 +94,10 @@
     const bool known = tables_.targets.known();
     if (!tables_.targets.replace_all(entries, *as_of))
         co_return true;
-    confirm_targets(begun);
+    confirm_targets(first_byte_at);
     if (!known || tables_.targets.latest_change() != before) {
-        tables_.list_changed();
-        tables_.spread_news();
+        tables_.update_target_registry();
+        tables_.broadcast_update();
     }
     co_return true;
 }
@@ -106,17 +106,18 @@
 {
     std::string target = adapter::watch_target(
         object_kind::targets, tables_.targets.as_of(), limits_.watch_wait);
-    const auto news = co_await fetch(call_name::watch_targets, call_kind::watch,
-                                     target, adapter::decode_watch);
+    const auto news =
+        co_await fetch(platform_call::watch_targets, call_kind::watch, target,
+                       adapter::decode_watch);
     if (!news)
         co_return false;
     const auto changes = changes_of(news->value);
     if (!tables_.targets.apply(changes, news->value.as_of))
         co_return true;
-    confirm_targets(news->begun);
+    confirm_targets(news->first_byte_at);
     if (!changes.empty()) {
-        tables_.list_changed();
-        tables_.spread_news();
+        tables_.update_target_registry();
+        tables_.broadcast_update();
     }
     co_return true;
 }
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -76,7 +76,7 @@
                 caller_reply& reply, exchange_ptr course)
         : driver_(driver), tables_(driver.tables_), request_(request),
           reply_(reply), course_(std::move(course)), config_(tables_.config),
-          queued_(tables_.queueing())
+          queued_(tables_.queueing_delay())
     {}
 
     awaitable<void> run();
@@ -204,9 +204,9 @@
     if (team_ == nullptr || !team_->prepaid || !request_.facts.prompt_size)
         co_return std::nullopt;
     const tokens worst = worst_case();
-    const duration wait =
-        std::max(part_of(way_->objective, tables_.options.requests.token_wait),
-                 least_token_wait);
+    const duration wait = std::max(
+        part_of(way_->objective, tables_.options.requests.token_wait_share),
+        least_token_wait);
     const instant until = tables_.now() + wait;
     const shortage got =
         co_await driver_.desk_.obtain(team_->id, worst, urgency(), until);
@@ -219,7 +219,7 @@
     const duration later =
         got == shortage::short_for_a_moment
             ? come_back
-            : part_of(time_left(), tables_.options.requests.come_back);
+            : part_of(time_left(), tables_.options.requests.retry_after_share);
     co_return refusal{503, later, "short of tokens"};
 }
 
@@ -272,7 +272,7 @@
 {
     return way_->repeats == catalog::repeat_rule::idempotent &&
            so_far_.may_have_run + 1 < way_->max_targets &&
-           tables_.book.count(service_) > tried_.size() + 1;
+           tables_.registry.count(service_) > tried_.size() + 1;
 }
 
 /// Whether a silent attempt is given up. Failure it guards against: a target
@@ -298,7 +298,7 @@
     other.avoid.push_back(silent.process());
     const instant now = tables_.now();
     retry_taken_ =
-        tables_.book.choose(other, now, tables_.random).has_value() &&
+        tables_.registry.choose(other, now, tables_.random).has_value() &&
         take_retry();
     return retry_taken_;
 }
@@ -339,19 +339,22 @@
         in.longest_rest = duration(0);
     if (another_is_possible()) {
         in.first_byte_limit = std::max(
-            part_of(way_->objective, tables_.options.requests.patience),
+            part_of(way_->objective,
+                    tables_.options.requests.first_byte_timeout_factor),
             least_patience);
         if (way_->streams)
-            in.gap_limit = part_of(way_->pause_objective,
-                                   tables_.options.requests.pause_patience);
+            in.gap_limit =
+                part_of(way_->pause_objective,
+                        tables_.options.requests.stream_idle_timeout_factor);
     }
     const dispatch::work_wish wanted = wish();
-    tables_.book.started(target, wanted, tables_.now());
+    tables_.registry.started(target, wanted, tables_.now());
     retry_taken_ = false;
     course_->on_silence([&] { return may_give_up_silent(target); });
     attempt_outcome got = co_await run_attempt(in);
     course_->on_silence(nullptr);
-    tables_.book.finished(target, got.first_byte, got.evidence, tables_.now());
+    tables_.registry.finished(target, got.first_byte, got.evidence,
+                              tables_.now());
     co_return got;
 }
 
@@ -364,9 +367,9 @@
     if (!got.sent_at || whole_answer || dispatch::proved_not_run(got.ended))
         return;
     if (got.ended == attempt_end::broken)
-        driver_.prober_.broke(target.process(), mark_);
+        driver_.prober_.on_broken_answer(target.process(), mark_);
     else
-        driver_.prober_.left_unfinished(target.process(), mark_);
+        driver_.prober_.on_unfinished_request(target.process(), mark_);
 }
 
 void request_run::note_attempt(const attempt_outcome& got,
@@ -403,30 +406,31 @@
 /// request after its caller has gone.
 bool request_run::may_send() const
 {
-    return !tables_.news_are_late() && time_left() > tables_.queueing();
+    return !tables_.updates_are_late() &&
+           time_left() > tables_.queueing_delay();
 }
 
 std::optional<dispatch::choice> request_run::choose_target()
 {
     if (!may_send())
         return std::nullopt;
-    return tables_.book.choose(wish(), tables_.now(), tables_.random);
+    return tables_.registry.choose(wish(), tables_.now(), tables_.random);
 }
 
 std::string_view request_run::why_no_target() const
 {
-    if (tables_.news_are_late())
+    if (tables_.updates_are_late())
         return "news are late";
     if (!may_send())
         return "its link is full";
-    return to_string(tables_.book.why_none(wish(), tables_.now()));
+    return to_string(tables_.registry.why_none(wish(), tables_.now()));
 }
 
 /// Callers who wait for targets to end their rest come back after its end, and
 /// not all at once.
 duration request_run::when_to_come_back()
 {
-    const auto rest = tables_.book.wait_for_rest(wish(), tables_.now());
+    const auto rest = tables_.registry.wait_for_rest(wish(), tables_.now());
     if (!rest)
         return come_back;
     const duration spread =
@@ -509,7 +513,7 @@
          {"tokens_free",
           team_ ? std::to_string(tables_.purse.free_of(team_->id).count())
                 : ""},
-         {"platform", tables_.contact.reached ? "reached" : "out"}});
+         {"platform", tables_.platform.reached ? "reached" : "out"}});
     tables_.metrics
         .counter_of("fennelladder_requests_total",
                     {{"outcome", std::string(outcome)}})
--- a/libs/edge/stock_keeper.cpp
+++ b/libs/edge/stock_keeper.cpp
@@ -48,7 +48,7 @@
 {
     if (tables_.now() < alone_until_ && is_stockist())
         return nullptr;
-    return tables_.nodes.leader(writer_salt, tables_.contact.reached,
+    return tables_.peers.leader(writer_salt, tables_.platform.reached,
                                 tables_.capacity(), tables_.now());
 }
 
@@ -62,7 +62,7 @@
 {
     const mesh::node_row* other = writer_elsewhere();
     reached_ = other != nullptr ? other->last.platform_reached
-                                : tables_.contact.reached;
+                                : tables_.platform.reached;
     outages_.note(reached_, tables_.now());
 }
 
@@ -71,11 +71,11 @@
     const prepaid::stock_options& options = tables_.options.stock;
     const instant now = tables_.now();
     if (options.large_holders) {
-        const auto large = tables_.nodes.large_members(tables_.capacity(), now);
+        const auto large = tables_.peers.large_members(tables_.capacity(), now);
         if (large.size() >= options.stockists)
             return prepaid::holders_of(large, options);
     }
-    return prepaid::holders_of(tables_.nodes.members(now), options);
+    return prepaid::holders_of(tables_.peers.members(now), options);
 }
 
 std::vector<host_id> stock_keeper::stockists(const team_id& team) const
@@ -125,7 +125,7 @@
 
 bool stock_keeper::may_take_out(const team_id& team) const
 {
-    return writer_elsewhere() == nullptr && tables_.contact.reached &&
+    return writer_elsewhere() == nullptr && tables_.platform.reached &&
            left_of(team) > tokens(0);
 }
 
@@ -176,7 +176,8 @@
     const instant now = tables_.now();
     const auto few =
         prepaid::stockists_of(team, holders, tables_.options.stock);
-    const auto others = peers_.sum(team, few, now - tables_.stock_word_lasts());
+    const auto others =
+        peers_.sum(team, few, now - tables_.stock_update_lifetime());
     const tokens own = tables_.purse.free_of(team);
     out.prepaid = total;
     out.left = left_of(team);
--- a/libs/edge/target_prober.cpp
+++ b/libs/edge/target_prober.cpp
@@ -19,8 +19,8 @@
 
 } // namespace
 
-void target_prober::broke(const catalog::target_process& target,
-                          dispatch::request_mark mark)
+void target_prober::on_broken_answer(const catalog::target_process& target,
+                                     dispatch::request_mark mark)
 {
     const bool under_way = suspects_.contains(target);
     suspects_[target].push_back(mark);
@@ -28,8 +28,8 @@
         spawn(tables_.io, probe(target));
 }
 
-void target_prober::left_unfinished(const catalog::target_process& target,
-                                    dispatch::request_mark mark)
+void target_prober::on_unfinished_request(const catalog::target_process& target,
+                                          dispatch::request_mark mark)
 {
     if (started_again(target))
         blame(target, {mark});
@@ -46,12 +46,12 @@
                           {"start", std::to_string(target.start.value())},
                           {"suspects", std::to_string(suspects.size())}});
     if (news)
-        tables_.spread_news();
+        tables_.broadcast_update();
 }
 
 bool target_prober::started_again(const catalog::target_process& target) const
 {
-    const auto entry = tables_.book.entry_of(target.id);
+    const auto entry = tables_.registry.entry_of(target.id);
     return entry && catalog::is_said(target.start) &&
            entry->start > target.start;
 }
@@ -60,7 +60,7 @@
 /// is gone.
 awaitable<bool> target_prober::is_unreachable(catalog::target_process target)
 {
-    const auto entry = tables_.book.entry_of(target.id);
+    const auto entry = tables_.registry.entry_of(target.id);
     if (!entry || entry->process() != target)
         co_return false;
     const target_endpoint to{target, entry->address};
@@ -83,8 +83,8 @@
     const suspect_list suspects = std::move(suspects_[target]);
     suspects_.erase(target);
     if (unreachable)
-        tables_.book.learned(target, dispatch::target_evidence::unreachable,
-                             tables_.now());
+        tables_.registry.learned(target, dispatch::target_evidence::unreachable,
+                                 tables_.now());
     const instant until = tables_.now() + restart_news;
     bool died = unreachable || started_again(target);
     while (!died && tables_.now() < until) {
--- a/libs/edge/token_desk.cpp
+++ b/libs/edge/token_desk.cpp
@@ -202,7 +202,7 @@
     const mesh::node_row* writer = keeper_.writer_elsewhere();
     if (writer == nullptr)
         return {.round = keeper_.want(team, missing, false)};
-    if (!tables_.options.lends_tokens)
+    if (!tables_.options.requests_peer_tokens)
         return {};
     return {.number =
                 ask(writer->last.host,
@@ -240,22 +240,22 @@
 std::optional<host_id>
 token_desk::best_peer(const team_id& team, const std::set<host_id>& tried) const
 {
-    if (!tables_.options.lends_tokens)
+    if (!tables_.options.requests_peer_tokens)
         return std::nullopt;
-    const instant since = tables_.now() - tables_.stock_word_lasts();
+    const instant since = tables_.now() - tables_.stock_update_lifetime();
     if (auto best = peers_.richest(team, tried, since))
         return best;
     // Nobody is known to have any: a stockist may have got some since.
     for (const host_id& it : keeper_.stockists(team))
-        if (!tried.contains(it) && tables_.nodes.rows().contains(it))
+        if (!tried.contains(it) && tables_.peers.rows().contains(it))
             return it;
     return std::nullopt;
 }
 
 std::string token_desk::address_of(const host_id& host) const
 {
-    const auto it = tables_.nodes.rows().find(host);
-    return it == tables_.nodes.rows().end() ? std::string()
+    const auto it = tables_.peers.rows().find(host);
+    return it == tables_.peers.rows().end() ? std::string()
                                             : it->second.last.peer_address;
 }
 
--- a/libs/edge/token_desk_test.cpp
+++ b/libs/edge/token_desk_test.cpp
@@ -59,7 +59,7 @@
             hello.stock = desk(from).own_stock();
             for (int to = 0; to < 3; ++to)
                 if (to != from) {
-                    nodes_[to]->tables.nodes.hear(hello, now());
+                    nodes_[to]->tables.peers.hear(hello, now());
                     desk(to).on_stock(hello);
                 }
         }
@@ -105,7 +105,7 @@
             payer.id = team;
             payer.prepaid = tokens(100'000);
             parts.teams = {payer};
-            tables.take_configuration(std::move(parts), "", "test");
+            tables.apply_configuration(std::move(parts), "", "test");
         }
 
         node_tables tables;
--- a/libs/edge/decision_options.cpp
+++ b/libs/edge/tuning_options.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/edge/decision_options.hpp"
+#include "fennelladder/edge/tuning_options.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -14,8 +14,8 @@
 struct decision
 {
     std::string_view name;
-    std::function<double(const decision_options&)> get;
-    std::function<void(decision_options&, double)> set;
+    std::function<double(const tuning_options&)> get;
+    std::function<void(tuning_options&, double)> set;
     double low = 0;
     double high = 1e9;
 };
@@ -44,31 +44,30 @@
 
 /// A member of a group of the options.
 template <class Group, class Member>
-decision of(std::string_view name, Group decision_options::*group,
+decision of(std::string_view name, Group tuning_options::*group,
             Member Group::*member)
 {
-    return {name,
-            [=](const decision_options& it) {
-                return as_number(it.*group.*member);
-            },
-            [=](decision_options& it, double value) {
-                assign(it.*group.*member, value);
-            }};
+    return {
+        name,
+        [=](const tuning_options& it) { return as_number(it.*group.*member); },
+        [=](tuning_options& it, double value) {
+            assign(it.*group.*member, value);
+        }};
 }
 
-decision of(std::string_view name, bool decision_options::*member)
+decision of(std::string_view name, bool tuning_options::*member)
 {
     return {name,
-            [=](const decision_options& it) { return as_number(it.*member); },
-            [=](decision_options& it, double value) { it.*member = value > 0; },
+            [=](const tuning_options& it) { return as_number(it.*member); },
+            [=](tuning_options& it, double value) { it.*member = value > 0; },
             0, 1};
 }
 
 const std::vector<decision>& decisions()
 {
-    using options = decision_options;
+    using options = tuning_options;
     using stock = prepaid::stock_options;
-    using book = dispatch::target_book_options;
+    using registry = dispatch::target_book_options;
     using request = request_options;
     static const std::vector<decision> all{
         of("stock.stockists", &options::stock, &stock::stockists),
@@ -88,33 +87,38 @@
         of("tokens.ahead", &options::stock, &stock::ahead),
         of("tokens.keep-back", &options::ration,
            &prepaid::ration_options::span),
-        of("tokens.lend", &options::lends_tokens),
-        of("tokens.wait", &options::requests, &request::token_wait),
-        of("tokens.come-back", &options::requests, &request::come_back),
-        of("prompt.shared-weight", &options::book, &book::shared_weight),
-        of("prompt.expect", &options::book, &book::expects_parts),
-        of("prompt.least-fetch", &options::book, &book::least_fetch),
-        of("prompt.fetch-cost", &options::book, &book::fetch_cost),
-        of("target.peer-load", &options::book, &book::counts_peers),
-        of("target.per-running", &options::book, &book::per_running),
-        of("target.failure-cost", &options::book, &book::failure_cost),
-        of("target.first-rest", &options::book, &book::first_rest),
-        of("target.longest-rest", &options::book, &book::longest_rest),
-        of("target.longest-quiet", &options::book, &book::longest_quiet),
-        of("target.newest-weight", &options::book, &book::newest_weight),
-        of("target.distance", &options::book, &book::distance),
+        of("tokens.lend", &options::requests_peer_tokens),
+        of("tokens.wait", &options::requests, &request::token_wait_share),
+        of("tokens.come-back", &options::requests, &request::retry_after_share),
+        of("prompt.shared-weight", &options::registry,
+           &registry::shared_weight),
+        of("prompt.expect", &options::registry, &registry::expects_parts),
+        of("prompt.least-fetch", &options::registry, &registry::least_fetch),
+        of("prompt.fetch-cost", &options::registry, &registry::fetch_cost),
+        of("target.peer-load", &options::registry, &registry::counts_peers),
+        of("target.per-running", &options::registry, &registry::per_running),
+        of("target.failure-cost", &options::registry, &registry::failure_cost),
+        of("target.first-rest", &options::registry, &registry::first_rest),
+        of("target.longest-rest", &options::registry, &registry::longest_rest),
+        of("target.longest-quiet", &options::registry,
+           &registry::longest_quiet),
+        of("target.newest-weight", &options::registry,
+           &registry::newest_weight),
+        of("target.distance", &options::registry, &registry::distance),
         of("attempts.most-sends", &options::attempts,
            &dispatch::attempt_policy_options::most_sends),
-        of("attempts.patience", &options::requests, &request::patience),
+        of("attempts.patience", &options::requests,
+           &request::first_byte_timeout_factor),
         of("attempts.pause-patience", &options::requests,
-           &request::pause_patience),
+           &request::stream_idle_timeout_factor),
         of("retries.caution", &options::retries,
            &dispatch::retry_allowance_options::caution),
         of("entry.headroom", &options::entry, &entry_options::headroom),
-        of("entry.enough-near", &options::entry, &entry_options::enough_near),
+        of("entry.enough-near", &options::entry,
+           &entry_options::min_near_nodes),
         of("connections.most-idle", &options::pool,
            &target_pool_options::most_idle),
-        of("news.mind-lateness", &options::minds_lateness),
+        of("news.mind-lateness", &options::refuses_when_late),
     };
     return all;
 }
@@ -131,7 +135,7 @@
 
 } // namespace
 
-status set_decision(decision_options& options, std::string_view text)
+status set_tuning_option(tuning_options& options, std::string_view text)
 {
     const std::size_t sign = text.find('=');
     const std::string_view name = text.substr(0, sign);
@@ -151,7 +155,7 @@
     return {};
 }
 
-std::vector<std::string> list_decisions(const decision_options& options)
+std::vector<std::string> list_tuning_options(const tuning_options& options)
 {
     std::vector<std::string> out;
     for (const decision& it : decisions())
--- /dev/null
+++ b/libs/edge/tuning_options_test.cpp
@@ -0,0 +1,36 @@
+#include "fennelladder/edge/tuning_options.hpp"
+
+#include <CppUTest/TestHarness.h>
+
+using namespace fennelladder;
+using namespace fennelladder::edge;
+
+TEST_GROUP(tuning_options)
+{
+    tuning_options options;
+};
+
+TEST(tuning_options, a_decision_is_set_by_its_name)
+{
+    CHECK(set_tuning_option(options, "stock.horizon=1500").has_value());
+    CHECK(options.stock.horizon == milliseconds(1500));
+    CHECK(set_tuning_option(options, "tokens.lend=0").has_value());
+    CHECK(!options.requests_peer_tokens);
+    CHECK(set_tuning_option(options, "entry.headroom=2.5").has_value());
+    DOUBLES_EQUAL(2.5, options.entry.headroom, 0);
+}
+
+TEST(tuning_options, what_can_not_be_set_is_said)
+{
+    for (const char* it :
+         {"", "stock.horizon", "stock.horizon=", "nothing=1", "tokens.lend=2",
+          "stock.horizon=-1", "stock.horizon=12s", "stock.horizon=nan"})
+        CHECK(!set_tuning_option(options, it).has_value());
+}
+
+TEST(tuning_options, the_list_can_be_given_back)
+{
+    for (const std::string& it : list_tuning_options(options))
+        CHECK(set_tuning_option(options, it).has_value());
+    CHECK(list_tuning_options(options) == list_tuning_options({}));
+}
--- a/libs/edge/news_exchange.cpp
+++ b/libs/edge/update_exchange.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/edge/news_exchange.hpp"
+#include "fennelladder/edge/update_exchange.hpp"
 
 #include "fennelladder/edge/simple_server.hpp"
 #include "fennelladder/mesh/packed_text.hpp"
@@ -58,7 +58,8 @@
 
 } // namespace
 
-news_exchange::fetching::fetching(telemetry::metrics& metrics, sync_part wanted)
+update_exchange::fetching::fetching(telemetry::metrics& metrics,
+                                    sync_part wanted)
     : part(wanted), name(name_of(wanted)),
       done(metrics.counter_of(fetches_metric,
                               {{"what", name}, {"result", "done"}})),
@@ -70,7 +71,7 @@
                                 {{"what", name}, {"result", "failed"}}))
 {}
 
-telemetry::counter& news_exchange::fetching::count_of(fetch_end end) const
+telemetry::counter& update_exchange::fetching::count_of(fetch_end end) const
 {
     switch (end) {
     case fetch_end::done:
@@ -85,7 +86,7 @@
     return failed;
 }
 
-news_exchange::news_exchange(node_tables& tables, std::string address)
+update_exchange::update_exchange(node_tables& tables, std::string address)
     : tables_(tables), address_(std::move(address)), acceptor_(tables.io),
       slots_(tables.settings.link_bits_per_second),
       targets_(tables.metrics, sync_part::targets),
@@ -98,7 +99,7 @@
           tables.metrics.counter_of(transfers_metric, {{"result", "busy"}}))
 {}
 
-status news_exchange::start()
+status update_exchange::start()
 {
     if (auto ok = listen_on(acceptor_, address_); !ok)
         return ok;
@@ -106,7 +107,7 @@
     return {};
 }
 
-void news_exchange::hear(const mesh::beacon& from)
+void update_exchange::on_heartbeat(const mesh::beacon& from)
 {
     if (is_ahead(from, sync_part::targets))
         begin(targets_);
@@ -114,7 +115,7 @@
         begin(configuration_);
 }
 
-bool news_exchange::is_ahead(const mesh::beacon& from, sync_part part) const
+bool update_exchange::is_ahead(const mesh::beacon& from, sync_part part) const
 {
     if (part == sync_part::targets)
         return from.targets_changed > tables_.targets.as_of();
@@ -123,7 +124,7 @@
 
 // Fetching.
 
-void news_exchange::begin(fetching& what)
+void update_exchange::begin(fetching& what)
 {
     if (what.under_way)
         return;
@@ -131,7 +132,7 @@
     spawn(tables_.io, fetch_all(what));
 }
 
-awaitable<void> news_exchange::fetch_all(fetching& what)
+awaitable<void> update_exchange::fetch_all(fetching& what)
 {
     asio::steady_timer timer(tables_.io);
     co_await sleep_on(timer, head_start(what));
@@ -146,7 +147,7 @@
         if (!address.empty())
             end = co_await fetch_from(what, address);
         const duration wait =
-            mesh::ask_pause(tables_.nodes.size(), sources.size());
+            mesh::ask_pause(tables_.peers.size(), sources.size());
         if (end != fetch_end::done)
             co_await sleep_on(timer, jitter(tables_.random, wait));
     }
@@ -154,11 +155,11 @@
 }
 
 /// Before the first question. Targets are few bytes and urgent.
-duration news_exchange::head_start(const fetching& what)
+duration update_exchange::head_start(const fetching& what)
 {
     if (what.part == sync_part::targets)
         return duration(0);
-    const auto living = tables_.nodes.alive(tables_.now());
+    const auto living = tables_.peers.alive(tables_.now());
     double largest = tables_.capacity();
     for (const mesh::node_row* it : living)
         largest = std::max(largest, it->last.capacity);
@@ -176,10 +177,10 @@
 
 /// The living nodes that have more of `part`, by their beacons and as other
 /// nodes named them.
-std::vector<mesh::news_source> news_exchange::sources_of(sync_part part)
+std::vector<mesh::news_source> update_exchange::sources_of(sync_part part)
 {
     std::vector<mesh::news_source> out;
-    for (const mesh::node_row* it : tables_.nodes.alive(tables_.now()))
+    for (const mesh::node_row* it : tables_.peers.alive(tables_.now()))
         if (is_ahead(it->last, part))
             out.push_back(source_of(it->last));
     if (part == sync_part::configuration)
@@ -187,14 +188,14 @@
     return out;
 }
 
-void news_exchange::add_named(std::vector<mesh::news_source>& to)
+void update_exchange::add_named(std::vector<mesh::news_source>& to)
 {
     std::erase_if(
         named_, [&](const auto& it) { return it.second <= tables_.version(); });
     if (named_.empty())
         return;
     std::map<std::string, mesh::news_source> heard;
-    for (const auto& [host, row] : tables_.nodes.rows())
+    for (const auto& [host, row] : tables_.peers.rows())
         heard[row.last.peer_address] = source_of(row.last);
     for (const auto& it : named_) {
         const std::string& address = it.first;
@@ -209,8 +210,8 @@
     }
 }
 
-awaitable<fetch_end> news_exchange::fetch_from(fetching& what,
-                                               std::string address)
+awaitable<fetch_end> update_exchange::fetch_from(fetching& what,
+                                                 std::string address)
 {
     const instant begun = tables_.now();
     peer_stream stream(tables_.io);
@@ -236,10 +237,10 @@
     co_return end;
 }
 
-awaitable<bool> news_exchange::exchange(peer_stream& stream,
-                                        const fetching& what,
-                                        const std::string& address,
-                                        std::string& answer)
+awaitable<bool> update_exchange::exchange(peer_stream& stream,
+                                          const fetching& what,
+                                          const std::string& address,
+                                          std::string& answer)
 {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint)
@@ -257,8 +258,8 @@
     co_return read;
 }
 
-void news_exchange::note_end(fetching& what, const std::string& address,
-                             fetch_end end)
+void update_exchange::note_end(fetching& what, const std::string& address,
+                               fetch_end end)
 {
     what.count_of(end).add();
     const int in_vain =
@@ -270,16 +271,16 @@
         named_.erase(address);
 }
 
-void news_exchange::note_unreadable(const std::string& source,
-                                    const error& cause)
+void update_exchange::note_unreadable(const std::string& source,
+                                      const error& cause)
 {
     tables_.unreadable.note(unreadable_kind::message, source,
                             catalog::revision(), cause);
 }
 
-fetch_end news_exchange::take_answer(const fetching& what,
-                                     const std::string& bytes,
-                                     const std::string& source)
+fetch_end update_exchange::take_answer(const fetching& what,
+                                       const std::string& bytes,
+                                       const std::string& source)
 {
     auto reply = mesh::decode_sync_reply(bytes);
     if (!reply) {
@@ -294,10 +295,10 @@
         take_named(*reply);
         return fetch_end::busy;
     }
-    return take_configuration(std::move(*reply), source);
+    return apply_configuration(std::move(*reply), source);
 }
 
-fetch_end news_exchange::take_targets(const mesh::sync_reply& reply)
+fetch_end update_exchange::take_targets(const mesh::sync_reply& reply)
 {
     const catalog::revision known_before = tables_.targets.as_of();
     const std::uint64_t before = tables_.targets.changes_taken();
@@ -309,7 +310,7 @@
     const bool changed = first ? tables_.targets.known()
                                : tables_.targets.changes_taken() != before;
     if (changed)
-        tables_.list_changed();
+        tables_.update_target_registry();
     // Those that heard it from the platform tell everybody; if those that
     // heard it from them did so too, each change would cost a message for
     // every pair of nodes.
@@ -317,8 +318,8 @@
                                                   : fetch_end::not_newer;
 }
 
-fetch_end news_exchange::take_configuration(mesh::sync_reply reply,
-                                            const std::string& source)
+fetch_end update_exchange::apply_configuration(mesh::sync_reply reply,
+                                               const std::string& source)
 {
     std::string text = std::move(reply.configuration);
     if (!reply.packed_configuration.empty()) {
@@ -338,7 +339,7 @@
         return fetch_end::failed;
     }
     const bool taken =
-        tables_.take_configuration(std::move(*parts), std::move(text), source);
+        tables_.apply_configuration(std::move(*parts), std::move(text), source);
     if (!taken)
         return fetch_end::not_newer;
     if (!reply.packed_configuration.empty())
@@ -346,7 +347,7 @@
     return fetch_end::done;
 }
 
-void news_exchange::take_named(const mesh::sync_reply& reply)
+void update_exchange::take_named(const mesh::sync_reply& reply)
 {
     std::size_t left = mesh::most_named;
     for (const std::string& it : reply.served) {
@@ -359,7 +360,7 @@
 
 // Serving.
 
-awaitable<void> news_exchange::accept()
+awaitable<void> update_exchange::accept()
 {
     asio::steady_timer timer(tables_.io);
     for (;;) {
@@ -374,7 +375,7 @@
     }
 }
 
-awaitable<void> news_exchange::serve(std::shared_ptr<tcp::socket> socket)
+awaitable<void> update_exchange::serve(std::shared_ptr<tcp::socket> socket)
 {
     peer_stream stream(std::move(socket));
     std::string bytes;
@@ -389,8 +390,8 @@
     co_await answer(stream, *ask);
 }
 
-awaitable<void> news_exchange::answer(peer_stream& stream,
-                                      const mesh::sync_ask& ask)
+awaitable<void> update_exchange::answer(peer_stream& stream,
+                                        const mesh::sync_ask& ask)
 {
     mesh::sync_reply small;
     if (ask.part != sync_part::configuration)
@@ -416,7 +417,7 @@
         send_failed_.add();
 }
 
-awaitable<bool> news_exchange::send_configuration(
+awaitable<bool> update_exchange::send_configuration(
     peer_stream& stream, std::shared_ptr<const std::string> bytes,
     const mesh::sync_ask& ask, mesh::transfer_id slot)
 {
@@ -433,9 +434,9 @@
     co_return arrived;
 }
 
-awaitable<bool> news_exchange::send_paced(peer_stream& stream,
-                                          std::string_view bytes,
-                                          mesh::transfer_id slot)
+awaitable<bool> update_exchange::send_paced(peer_stream& stream,
+                                            std::string_view bytes,
+                                            mesh::transfer_id slot)
 {
     asio::steady_timer timer(tables_.io);
     bool sent = true;
@@ -453,7 +454,7 @@
     co_return sent;
 }
 
-mesh::sync_reply news_exchange::targets_for(const mesh::sync_ask& ask) const
+mesh::sync_reply update_exchange::targets_for(const mesh::sync_ask& ask) const
 {
     mesh::sync_reply out;
     if (!tables_.targets.known())
@@ -470,7 +471,7 @@
     return out;
 }
 
-mesh::sync_reply news_exchange::busy_reply() const
+mesh::sync_reply update_exchange::busy_reply() const
 {
     mesh::sync_reply out;
     out.busy = true;
@@ -482,7 +483,7 @@
 /// The bytes that bring the asker the configuration; null if they can't be
 /// made.
 std::shared_ptr<const std::string>
-news_exchange::wire_form_for(const mesh::sync_ask& ask)
+update_exchange::wire_form_for(const mesh::sync_ask& ask)
 {
     if (ask.part == sync_part::both) {
         mesh::sync_reply plain = targets_for(ask);
@@ -501,7 +502,7 @@
     return wire_form_.bytes;
 }
 
-void news_exchange::keep_wire_form(std::string packed)
+void update_exchange::keep_wire_form(std::string packed)
 {
     mesh::sync_reply reply;
     reply.packed_configuration = std::move(packed);
--- a/libs/edge/news_exchange_test.cpp
+++ b/libs/edge/update_exchange_test.cpp
@@ -1,7 +1,7 @@
 // Configurations and targets between nodes on the loopback, with peers that
 // are slow, silent, or send what can't be read.
 
-#include "fennelladder/edge/news_exchange.hpp"
+#include "fennelladder/edge/update_exchange.hpp"
 #include "fennelladder/mesh/packed_text.hpp"
 #include "fennelladder/telemetry/log.hpp"
 #include "platform/configuration_codec.hpp"
@@ -76,13 +76,13 @@
     {
         auto parts = adapter::decode_configuration(nlohmann::json::parse(text));
         CHECK(parts.has_value());
-        tables.take_configuration(std::move(*parts), text, "test");
+        tables.apply_configuration(std::move(*parts), text, "test");
     }
 
     void hear(const mesh::beacon& from)
     {
-        tables.nodes.hear(from, tables.now());
-        news.hear(from);
+        tables.peers.hear(from, tables.now());
+        news.on_heartbeat(from);
     }
 
     std::uint64_t count(const char* metric, const telemetry::labels& where)
@@ -103,7 +103,7 @@
 
     std::string address;
     node_tables tables;
-    news_exchange news;
+    update_exchange news;
 };
 
 /// Answers questions as the test says.
@@ -252,9 +252,9 @@
 
 } // namespace
 
-TEST_GROUP(news_exchange){};
+TEST_GROUP(update_exchange){};
 
-TEST(news_exchange, a_configuration_passes_from_node_to_node_as_it_is)
+TEST(update_exchange, a_configuration_passes_from_node_to_node_as_it_is)
 {
     world all;
     node& first = all.add_node();
@@ -274,7 +274,7 @@
 // Story: one small host had a new configuration, and all others fetched it
 // from there at the same time. None got it within its limit; all tried again.
 // Nobody had it for 2.5 s.
-TEST(news_exchange, a_configuration_spreads_from_one_small_host)
+TEST(update_exchange, a_configuration_spreads_from_one_small_host)
 {
     constexpr std::size_t askers = 16;
     world all;
@@ -306,7 +306,7 @@
 // Story: a target says that it leaves while a large configuration is on its
 // way to a small host. The news of both came in one message, three quarters of
 // a second after the target had to be left alone.
-TEST(news_exchange, targets_arrive_while_a_configuration_is_under_way)
+TEST(update_exchange, targets_arrive_while_a_configuration_is_under_way)
 {
     world all;
     const std::string text = configuration_text(7, 200);
@@ -334,7 +334,7 @@
 
 // Story: transfers over a small link were ended after 1.5 s although bytes
 // came all the time, and began anew.
-TEST(news_exchange, a_slow_transfer_that_moves_is_not_ended)
+TEST(update_exchange, a_slow_transfer_that_moves_is_not_ended)
 {
     world all;
     const std::string text = configuration_text(7, 200);
@@ -351,7 +351,7 @@
 }
 
 // Story: a peer is cut off in the middle of a transfer: no end, no error.
-TEST(news_exchange, a_silent_transfer_is_fetched_elsewhere)
+TEST(update_exchange, a_silent_transfer_is_fetched_elsewhere)
 {
     world all;
     scripted_peer& silent = all.add_peer(
@@ -370,7 +370,7 @@
     UNSIGNED_LONGS_EQUAL(1, asker.fetches("configuration", "failed"));
 }
 
-TEST(news_exchange, a_busy_peer_names_one_that_is_not)
+TEST(update_exchange, a_busy_peer_names_one_that_is_not)
 {
     world all;
     node& served = all.add_node();
@@ -392,7 +392,7 @@
 
 // Bytes from a peer are news or a failure, whatever they are, and the next
 // peer is asked.
-TEST(news_exchange, unreadable_answers_end_nothing)
+TEST(update_exchange, unreadable_answers_end_nothing)
 {
     mesh::sync_reply not_packed;
     not_packed.packed_configuration = "not packed";
@@ -429,7 +429,7 @@
     }
 }
 
-TEST(news_exchange, unreadable_questions_end_nothing)
+TEST(update_exchange, unreadable_questions_end_nothing)
 {
     world all;
     node& served = all.add_node();
@@ -451,7 +451,7 @@
 // Story: two nodes of an earlier release fetched plain text from a small host.
 // The one that came second got no byte while the first was served, and gave
 // up, again and again.
-TEST(news_exchange, two_large_transfers_at_once_are_both_done)
+TEST(update_exchange, two_large_transfers_at_once_are_both_done)
 {
     world all;
     node& served = all.add_node();
@@ -478,7 +478,7 @@
 }
 
 // A node of an earlier release asks for both at once and reads plain text.
-TEST(news_exchange, an_earlier_release_gets_what_it_can_read)
+TEST(update_exchange, an_earlier_release_gets_what_it_can_read)
 {
     world all;
     node& served = all.add_node();
@@ -504,7 +504,7 @@
     CHECK(reply->packed_configuration.empty());
 }
 
-TEST(news_exchange, an_earlier_release_brings_plain_text)
+TEST(update_exchange, an_earlier_release_brings_plain_text)
 {
     world all;
     const std::string text = configuration_text(7, 50);
