--- a/include/fennelladder/edge/entry_planner.hpp
+++ b/include/fennelladder/edge/entry_planner.hpp
@@ -1,13 +1,16 @@
-// Which addresses a caller is told to use.
+// Selects the node addresses that a caller is told to use.
 //
-// Nodes that are ready and were heard lately, those of the caller's own data
-// centre alone if there are enough of them: its bytes then stay there. Else
-// those of its region, and if there are none, those of the regions in which the
-// requests for the host name may be run. Callers
-// pick at random among what they are told, and some send all they have to one
-// address; so where hosts are unequal, the small ones are named only when the
-// large ones can't carry the load of all with room to spare. Fewer nodes also
-// keep their connections to targets busy, which saves most new ones.
+// Candidates are the nodes that are ready and were heard from recently. If the
+// caller's own data centre has enough of them, only those are named, so that
+// traffic stays inside the data centre. Otherwise the nodes of its region are
+// named; if there are none, those of the regions in which requests for the host
+// name may be run.
+//
+// Callers pick at random among the addresses they are given, and some send all
+// their requests to one address. Where hosts are of unequal size, small ones
+// are therefore named only if the large ones can't carry the total load with
+// headroom. Fewer nodes also keep their connections to targets busy, which
+// saves most new connections.
 //
 // Pure; thread safe.
 
@@ -28,27 +31,28 @@
     std::string address;
     data_center_id data_center;
     region_id region;
-    double capacity = 0; ///< Requests a second it can carry.
-    double load = 0;     ///< Requests a second it carries now.
+    double capacity = 0; ///< Requests per second that it can carry.
+    double load = 0;     ///< Requests per second at present.
 };
 
 struct entry_options
 {
-    std::size_t max_addresses = 64; ///< More are of no use to a caller.
-    /// With as many nodes in the caller's data centre, no others are named:
-    /// if one of them dies, the caller has another.
+    std::size_t max_addresses = 64; ///< More don't help a caller.
+    /// If the caller's data centre has at least this many nodes, no others are
+    /// named: if one of them fails, the caller has another.
     std::size_t min_near_nodes = 3;
-    /// At least so many nodes are named, if there are any.
+    /// At least this many nodes are named, if that many exist.
     std::size_t min_nodes = 2;
-    /// The nodes that are named can carry this many times the load seen. A
-    /// burst is twice the usual, and the load is known some seconds late.
+    /// The named nodes can carry this many times the observed load. Bursts
+    /// reach twice the usual load, and the load is known with a delay of some
+    /// seconds.
     double headroom = 2;
 };
 
-/// What a host can carry, by its processor and its link: requests a second.
+/// Requests per second that a host can carry, given its processor and link.
 double request_capacity(double cores, double link_bits_per_second);
 
-/// Who asks, and where its requests may be run.
+/// Location of the caller, and the regions in which its requests may be run.
 struct entry_query
 {
     data_center_id data_center;
@@ -56,6 +60,7 @@
     catalog::allowed_regions regions;
 };
 
+/// The addresses to name to the caller; empty only if `nodes` is empty.
 std::vector<std::string> plan_entry(const std::vector<entry_node>& nodes,
                                     const entry_query& asker,
                                     const entry_options& options);
--- a/include/fennelladder/edge/tuning_options.hpp
+++ b/include/fennelladder/edge/tuning_options.hpp
@@ -1,11 +1,11 @@
-// How a node of the fleet decides, as settings.
+// Parameters of the policies by which a node chooses targets, retries and
+// obtains tokens.
 //
 //     tuning_options options;
 //     if (auto ok = set_tuning_option(options, "stock.horizon=12000"); !ok) ...
 //
-// The defaults are what was measured best and are meant to be left alone; an
-// operator changes one to learn what a mechanism is worth on a fleet of his
-// own, or to switch it off.
+// The defaults are meant to be kept. Change a parameter only to measure what a
+// mechanism contributes on a given fleet, or to disable it.
 
 #ifndef FENNELLADDER_EDGE_TUNING_OPTIONS_HPP
 #define FENNELLADDER_EDGE_TUNING_OPTIONS_HPP
@@ -25,20 +25,20 @@
 
 namespace fennelladder::edge {
 
-/// How long a request is waited with and for.
+/// Timeouts of a request, relative to its route's objective or deadline.
 struct request_options
 {
-    /// Waiting for tokens, as a part of the route's objective: enough to ask a
-    /// few peers and the platform once. A caller that is refused sooner can
-    /// come back sooner.
+    /// Longest wait for tokens, as a fraction of the route's objective: enough
+    /// to ask a few peers and the platform once. A caller that is refused
+    /// earlier can retry earlier.
     double token_wait_share = 0.125;
-    /// When tokens are short for long, callers are asked to come back after
-    /// this part of the time they have: by then the platform may be back.
+    /// During a lasting token shortage, callers are told to retry after this
+    /// fraction of their remaining time: the platform may be reachable by then.
     double retry_after_share = 1.0 / 3;
-    /// Waiting for the first byte is given up after this many objectives, if
-    /// the request may go elsewhere.
+    /// Timeout for the first byte, as a multiple of the route's objective. Only
+    /// applies if the request may be sent to another target.
     double first_byte_timeout_factor = 2;
-    /// The same for a pause in a stream.
+    /// The same for a gap between two parts of a stream.
     double stream_idle_timeout_factor = 2;
 };
 
@@ -54,16 +54,16 @@
     target_pool_options pool;
     /// Asks other nodes for tokens before a request is refused.
     bool requests_peer_tokens = true;
-    /// Refuses callers while news are late, see mesh/news_lateness.hpp.
+    /// Refuses callers while updates arrive late, see mesh/news_lateness.hpp.
     bool refuses_when_late = true;
 };
 
-/// Takes a text of the form name=value; durations are whole milliseconds,
-/// switches 0 or 1. Fails with `invalid` on an unknown name, and on a value
-/// that isn't a number or is out of range. Pure.
+/// Sets one option from a text of the form name=value. Durations are in
+/// milliseconds, switches are 0 or 1. Fails with `invalid` if the name is
+/// unknown or the value isn't a number or is out of range.
 status set_tuning_option(tuning_options& options, std::string_view text);
 
-/// All names with their values, in the form that set_tuning_option() takes.
+/// All options with their values, in the form that set_tuning_option() takes.
 std::vector<std::string> list_tuning_options(const tuning_options& options);
 
 } // namespace fennelladder::edge
--- a/libs/edge/entry_planner.cpp
+++ b/libs/edge/entry_planner.cpp
@@ -9,62 +9,64 @@
 
 namespace {
 
-/// Processor time of a request with its share of all upkeep: 0.011 cores at 9
-/// requests a second.
+/// Processor time of a request including its share of background work: 0.011
+/// cores at 9 requests per second.
 constexpr double core_seconds_per_request = 0.0012;
 
-/// Bits on the busier direction of the link for a request: an answer of 40
-/// events comes from the target, and one like it goes to the caller.
+/// Bits per request in the busier direction of the link: a response of 40
+/// events is received from the target and one of the same size sent to the
+/// caller.
 constexpr double link_bits_per_request = 80'000;
 
-/// Those of the largest nodes that carry the load of all with headroom.
-void keep_capable(std::vector<entry_node>& nodes, const entry_options& options)
+/// Keeps the largest nodes that can carry the total load with headroom.
+void keep_largest_sufficient(std::vector<entry_node>& nodes,
+                             const entry_options& options)
 {
     std::ranges::stable_sort(nodes, std::greater<>(), &entry_node::capacity);
     const double load = std::accumulate(
         nodes.begin(), nodes.end(), 0.0,
         [](double sum, const entry_node& it) { return sum + it.load; });
     double largest = 0;
-    double carried = 0;
+    double total_capacity = 0;
     std::size_t kept = 0;
     for (const entry_node& it : nodes) {
-        const bool equal = kept > 0 && mesh::is_large(it.capacity, largest);
-        const bool enough =
-            kept >= options.min_nodes && carried >= load * options.headroom;
-        if (enough && !equal)
+        const bool same_size = kept > 0 && mesh::is_large(it.capacity, largest);
+        const bool sufficient = kept >= options.min_nodes &&
+                                total_capacity >= load * options.headroom;
+        if (sufficient && !same_size)
             break;
-        if (!equal)
+        if (!same_size)
             largest = it.capacity;
-        carried += it.capacity;
+        total_capacity += it.capacity;
         ++kept;
     }
     nodes.resize(kept);
 }
 
 template <class Condition>
-std::vector<entry_node> those_that(const std::vector<entry_node>& nodes,
-                                   Condition holds)
+std::vector<entry_node> filter_nodes(const std::vector<entry_node>& nodes,
+                                     Condition holds)
 {
     std::vector<entry_node> out;
     std::ranges::copy_if(nodes, std::back_inserter(out), holds);
     return out;
 }
 
-std::vector<entry_node> nearest(const std::vector<entry_node>& nodes,
-                                const entry_query& asker,
-                                const entry_options& options)
+std::vector<entry_node> nearest_nodes(const std::vector<entry_node>& nodes,
+                                      const entry_query& query,
+                                      const entry_options& options)
 {
-    std::vector<entry_node> out = those_that(nodes, [&](const auto& it) {
-        return it.data_center == asker.data_center;
+    std::vector<entry_node> out = filter_nodes(nodes, [&](const auto& it) {
+        return it.data_center == query.data_center;
     });
     if (out.size() >= options.min_near_nodes)
         return out;
-    out = those_that(nodes,
-                     [&](const auto& it) { return it.region == asker.region; });
-    if (out.empty() && asker.regions)
-        out = those_that(nodes, [&](const auto& it) {
-            return std::ranges::find(*asker.regions, it.region) !=
-                   asker.regions->end();
+    out = filter_nodes(
+        nodes, [&](const auto& it) { return it.region == query.region; });
+    if (out.empty() && query.regions)
+        out = filter_nodes(nodes, [&](const auto& it) {
+            return std::ranges::find(*query.regions, it.region) !=
+                   query.regions->end();
         });
     return out.empty() ? nodes : out;
 }
@@ -78,16 +80,16 @@
 }
 
 std::vector<std::string> plan_entry(const std::vector<entry_node>& nodes,
-                                    const entry_query& asker,
+                                    const entry_query& query,
                                     const entry_options& options)
 {
-    std::vector<entry_node> named = nearest(nodes, asker, options);
-    keep_capable(named, options);
-    if (named.size() > options.max_addresses)
-        named.resize(options.max_addresses);
+    std::vector<entry_node> selected = nearest_nodes(nodes, query, options);
+    keep_largest_sufficient(selected, options);
+    if (selected.size() > options.max_addresses)
+        selected.resize(options.max_addresses);
     std::vector<std::string> out;
-    out.reserve(named.size());
-    for (entry_node& it : named)
+    out.reserve(selected.size());
+    for (entry_node& it : selected)
         out.push_back(std::move(it.address));
     return out;
 }
--- a/libs/edge/tuning_options.cpp
+++ b/libs/edge/tuning_options.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-/// One setting: how it is read and written as a number.
-struct decision
+/// One option: its name, how it is read and written as a number, and its range.
+struct tuning_option
 {
     std::string_view name;
     std::function<double(const tuning_options&)> get;
@@ -42,10 +42,10 @@
     to = static_cast<Number>(value);
 }
 
-/// A member of a group of the options.
+/// An option that is a member of a nested group.
 template <class Group, class Member>
-decision of(std::string_view name, Group tuning_options::*group,
-            Member Group::*member)
+tuning_option option(std::string_view name, Group tuning_options::*group,
+                     Member Group::*member)
 {
     return {
         name,
@@ -55,7 +55,7 @@
         }};
 }
 
-decision of(std::string_view name, bool tuning_options::*member)
+tuning_option option(std::string_view name, bool tuning_options::*member)
 {
     return {name,
             [=](const tuning_options& it) { return as_number(it.*member); },
@@ -63,70 +63,77 @@
             0, 1};
 }
 
-const std::vector<decision>& decisions()
+const std::vector<tuning_option>& all_options()
 {
     using options = tuning_options;
     using stock = prepaid::stock_options;
     using registry = dispatch::target_book_options;
     using request = request_options;
-    static const std::vector<decision> all{
-        of("stock.stockists", &options::stock, &stock::stockists),
-        of("stock.holders", &options::stock, &stock::holders),
-        of("stock.horizon", &options::stock, &stock::horizon),
-        of("stock.first-share", &options::stock, &stock::first_share),
-        of("stock.most-of-unspent", &options::stock, &stock::most_of_unspent),
-        of("stock.refill-below", &options::stock, &stock::refill_below),
-        of("stock.long-runway", &options::stock, &stock::long_runway),
-        of("stock.write-pause", &options::stock, &stock::write_pause),
-        of("stock.urgent-pause", &options::stock, &stock::urgent_pause),
-        of("stock.conflict-pause", &options::stock, &stock::conflict_pause),
-        of("stock.outage-cover", &options::stock, &stock::outage_cover),
-        of("stock.most-for-outage", &options::stock, &stock::most_for_outage),
-        of("stock.loss-caution", &options::stock, &stock::loss_caution),
-        of("stock.large-holders", &options::stock, &stock::large_holders),
-        of("tokens.ahead", &options::stock, &stock::ahead),
-        of("tokens.keep-back", &options::ration,
-           &prepaid::ration_options::span),
-        of("tokens.lend", &options::requests_peer_tokens),
-        of("tokens.wait", &options::requests, &request::token_wait_share),
-        of("tokens.come-back", &options::requests, &request::retry_after_share),
-        of("prompt.shared-weight", &options::registry,
-           &registry::shared_weight),
-        of("prompt.expect", &options::registry, &registry::expects_parts),
-        of("prompt.least-fetch", &options::registry, &registry::least_fetch),
-        of("prompt.fetch-cost", &options::registry, &registry::fetch_cost),
-        of("target.peer-load", &options::registry, &registry::counts_peers),
-        of("target.per-running", &options::registry, &registry::per_running),
-        of("target.failure-cost", &options::registry, &registry::failure_cost),
-        of("target.first-rest", &options::registry, &registry::first_rest),
-        of("target.longest-rest", &options::registry, &registry::longest_rest),
-        of("target.longest-quiet", &options::registry,
-           &registry::longest_quiet),
-        of("target.newest-weight", &options::registry,
-           &registry::newest_weight),
-        of("target.distance", &options::registry, &registry::distance),
-        of("attempts.most-sends", &options::attempts,
-           &dispatch::attempt_policy_options::most_sends),
-        of("attempts.patience", &options::requests,
-           &request::first_byte_timeout_factor),
-        of("attempts.pause-patience", &options::requests,
-           &request::stream_idle_timeout_factor),
-        of("retries.caution", &options::retries,
-           &dispatch::retry_allowance_options::caution),
-        of("entry.headroom", &options::entry, &entry_options::headroom),
-        of("entry.enough-near", &options::entry,
-           &entry_options::min_near_nodes),
-        of("connections.most-idle", &options::pool,
-           &target_pool_options::most_idle),
-        of("news.mind-lateness", &options::refuses_when_late),
+    static const std::vector<tuning_option> all{
+        option("stock.stockists", &options::stock, &stock::stockists),
+        option("stock.holders", &options::stock, &stock::holders),
+        option("stock.horizon", &options::stock, &stock::horizon),
+        option("stock.first-share", &options::stock, &stock::first_share),
+        option("stock.most-of-unspent", &options::stock,
+               &stock::most_of_unspent),
+        option("stock.refill-below", &options::stock, &stock::refill_below),
+        option("stock.long-runway", &options::stock, &stock::long_runway),
+        option("stock.write-pause", &options::stock, &stock::write_pause),
+        option("stock.urgent-pause", &options::stock, &stock::urgent_pause),
+        option("stock.conflict-pause", &options::stock, &stock::conflict_pause),
+        option("stock.outage-cover", &options::stock, &stock::outage_cover),
+        option("stock.most-for-outage", &options::stock,
+               &stock::most_for_outage),
+        option("stock.loss-caution", &options::stock, &stock::loss_caution),
+        option("stock.large-holders", &options::stock, &stock::large_holders),
+        option("tokens.ahead", &options::stock, &stock::ahead),
+        option("tokens.keep-back", &options::ration,
+               &prepaid::ration_options::span),
+        option("tokens.lend", &options::requests_peer_tokens),
+        option("tokens.wait", &options::requests, &request::token_wait_share),
+        option("tokens.come-back", &options::requests,
+               &request::retry_after_share),
+        option("prompt.shared-weight", &options::registry,
+               &registry::shared_weight),
+        option("prompt.expect", &options::registry, &registry::expects_parts),
+        option("prompt.least-fetch", &options::registry,
+               &registry::least_fetch),
+        option("prompt.fetch-cost", &options::registry, &registry::fetch_cost),
+        option("target.peer-load", &options::registry, &registry::counts_peers),
+        option("target.per-running", &options::registry,
+               &registry::per_running),
+        option("target.failure-cost", &options::registry,
+               &registry::failure_cost),
+        option("target.first-rest", &options::registry, &registry::first_rest),
+        option("target.longest-rest", &options::registry,
+               &registry::longest_rest),
+        option("target.longest-quiet", &options::registry,
+               &registry::longest_quiet),
+        option("target.newest-weight", &options::registry,
+               &registry::newest_weight),
+        option("target.distance", &options::registry, &registry::distance),
+        option("attempts.most-sends", &options::attempts,
+               &dispatch::attempt_policy_options::most_sends),
+        option("attempts.patience", &options::requests,
+               &request::first_byte_timeout_factor),
+        option("attempts.pause-patience", &options::requests,
+               &request::stream_idle_timeout_factor),
+        option("retries.caution", &options::retries,
+               &dispatch::retry_allowance_options::caution),
+        option("entry.headroom", &options::entry, &entry_options::headroom),
+        option("entry.enough-near", &options::entry,
+               &entry_options::min_near_nodes),
+        option("connections.most-idle", &options::pool,
+               &target_pool_options::most_idle),
+        option("news.mind-lateness", &options::refuses_when_late),
     };
     return all;
 }
 
 std::string text_of(double value)
 {
-    constexpr std::size_t longest = 32;
-    std::string out(longest, '\0');
+    constexpr std::size_t max_length = 32;
+    std::string out(max_length, '\0');
     const auto end =
         std::to_chars(out.data(), out.data() + out.size(), value).ptr;
     out.resize(static_cast<std::size_t>(end - out.data()));
@@ -137,20 +144,23 @@
 
 status set_tuning_option(tuning_options& options, std::string_view text)
 {
-    const std::size_t sign = text.find('=');
-    const std::string_view name = text.substr(0, sign);
-    const auto it = std::ranges::find(decisions(), name, &decision::name);
-    if (sign == std::string_view::npos || it == decisions().end())
+    const std::size_t separator = text.find('=');
+    const std::string_view name = text.substr(0, separator);
+    const auto it =
+        std::ranges::find(all_options(), name, &tuning_option::name);
+    if (separator == std::string_view::npos || it == all_options().end())
         return fail(error_code::invalid,
-                    "no such decision: " + std::string(text));
-    const std::string_view digits = text.substr(sign + 1);
+                    "unknown tuning option: " + std::string(text));
+    const std::string_view digits = text.substr(separator + 1);
     double value = 0;
     const auto read =
         std::from_chars(digits.data(), digits.data() + digits.size(), value);
-    const bool whole =
+    const bool fully_read =
         read.ec == std::errc() && read.ptr == digits.data() + digits.size();
-    if (!whole || !(value >= it->low && value <= it->high))
-        return fail(error_code::invalid, "not a value: " + std::string(text));
+    if (!fully_read || !(value >= it->low && value <= it->high))
+        return fail(error_code::invalid,
+                    "value isn't a number or out of range: " +
+                        std::string(text));
     it->set(options, value);
     return {};
 }
@@ -158,7 +168,7 @@
 std::vector<std::string> list_tuning_options(const tuning_options& options)
 {
     std::vector<std::string> out;
-    for (const decision& it : decisions())
+    for (const tuning_option& it : all_options())
         out.push_back(std::string(it.name) + "=" + text_of(it.get(options)));
     return out;
 }
--- a/libs/edge/tuning_options_test.cpp
+++ b/libs/edge/tuning_options_test.cpp
@@ -10,7 +10,7 @@
     tuning_options options;
 };
 
-TEST(tuning_options, a_decision_is_set_by_its_name)
+TEST(tuning_options, sets_an_option_by_name)
 {
     CHECK(set_tuning_option(options, "stock.horizon=1500").has_value());
     CHECK(options.stock.horizon == milliseconds(1500));
@@ -20,7 +20,7 @@
     DOUBLES_EQUAL(2.5, options.entry.headroom, 0);
 }
 
-TEST(tuning_options, what_can_not_be_set_is_said)
+TEST(tuning_options, rejects_unknown_names_and_invalid_values)
 {
     for (const char* it :
          {"", "stock.horizon", "stock.horizon=", "nothing=1", "tokens.lend=2",
@@ -28,7 +28,7 @@
         CHECK(!set_tuning_option(options, it).has_value());
 }
 
-TEST(tuning_options, the_list_can_be_given_back)
+TEST(tuning_options, listed_options_can_be_set_again)
 {
     for (const std::string& it : list_tuning_options(options))
         CHECK(set_tuning_option(options, it).has_value());
