--- a/include/fennelladder/edge/edge_node.hpp
+++ b/include/fennelladder/edge/edge_node.hpp
@@ -1,14 +1,15 @@
-// One node of the fleet on the platform: puts the parts together, starts
-// them, and leaves in order.
+// One node of the fleet: owns and connects its components, starts them, and
+// shuts down gracefully.
 //
 //     edge_node node(io, clock, settings, options);
 //     if (auto ok = node.start(); !ok) ...
-//     io.run();                         // until SIGTERM has been dealt with
+//     io.run();                         // returns after SIGTERM was handled
 //
-// Leaving, from SIGTERM on: the node says it isn't ready and tells the other
-// nodes, but serves on, since callers hold older entry answers; then it takes
-// no connections and refuses new requests ("not run"); when what it has is
-// finished, or the time is over, it hands its tokens on and ends.
+// Shutdown after SIGTERM: the node reports that it isn't ready and tells its
+// peers, but continues to serve, since callers still hold entry answers that
+// name it. Then it accepts no connections and refuses new requests ("not run").
+// When the requests under way are finished, or the grace period is over, it
+// transfers its tokens to other nodes and stops.
 //
 // Not thread safe.
 
@@ -31,15 +32,16 @@
 
 struct edge_node_options
 {
-    std::string settings_path;   ///< Read again on SIGHUP and when it changed.
-    std::string settings_text;   ///< What `settings` was read from.
-    std::string metrics_address; ///< IP:port; empty: none.
+    std::string settings_path;   ///< Reloaded on SIGHUP and when it changes.
+    std::string settings_text;   ///< The text that `settings` was parsed from.
+    std::string metrics_address; ///< IP:port; empty to disable metrics.
     std::string metrics_path = "/metrics";
     tuning_options tuning;
-    /// Validity of entry answers: callers hear of a dead node this late.
+    /// How long callers may cache entry answers; a caller may use a failed
+    /// node's address for this long.
     duration entry_validity = seconds(2);
-    /// After SIGTERM callers are still served for this long; their entry
-    /// answers have run out by then.
+    /// How long callers are still served after SIGTERM. Should exceed
+    /// `entry_validity`, so that the entry answers that name this node expire.
     duration drain_delay = milliseconds(2500);
 };
 
@@ -50,21 +52,22 @@
               adapter::host_settings settings, edge_node_options options,
               telemetry::line_writer& log);
 
-    /// Fails with the reason when an address can't be used.
+    /// Starts all servers and background tasks. Fails if an address can't be
+    /// used.
     status start();
 
 private:
     status start_servers();
     awaitable<void> watch_signals();
     awaitable<void> leave();
-    awaitable<void> housekeeping();
+    awaitable<void> run_periodic_tasks();
     void add_seed_nodes();
     void reload_settings();
     void log_tokens();
     std::vector<entry_node> entry_nodes() const;
-    simple_answer answer_entry(const simple_request& asked);
-    simple_answer answer_readiness(const simple_request& asked);
-    simple_answer answer_metrics(const simple_request& asked);
+    simple_answer answer_entry(const simple_request& request);
+    simple_answer answer_readiness(const simple_request& request);
+    simple_answer answer_metrics(const simple_request& request);
     void update_gauges();
 
     asio::io_context& io_;
@@ -79,7 +82,7 @@
     caller_server callers_;
     std::vector<std::unique_ptr<simple_server>> servers_;
     asio::signal_set signals_;
-    std::string settings_text_; ///< Last read without a finding.
+    std::string settings_text_; ///< The last text that was valid.
 };
 
 } // namespace fennelladder::edge
--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -1,8 +1,10 @@
-// Everything that the parts of one node share.
+// The state that the components of one node share.
 //
-// The parts (caller sessions, the feed from the platform, the mesh, the token
-// desk) get a reference each and work on these tables from one thread. The
-// tables decide; the parts do the input and output.
+// The components (caller sessions, platform feed, mesh, token desk) each hold a
+// reference and access these tables from one thread. The tables implement the
+// decisions; the components do the I/O.
+//
+// Not thread safe.
 
 #ifndef FENNELLADDER_EDGE_NODE_TABLES_HPP
 #define FENNELLADDER_EDGE_NODE_TABLES_HPP
@@ -34,7 +36,7 @@
 
 namespace fennelladder::edge {
 
-/// Between two looks of the node at what is due, and at its loop's lag.
+/// Interval at which the node checks what is due and measures its loop's lag.
 inline constexpr duration tick_period = milliseconds(50);
 
 /// Whether the platform answers this node.
@@ -44,10 +46,10 @@
     instant changed; ///< When `reached` last changed.
 };
 
-/// Writes a line for each signal of a target that is news; `by` says who told
-/// it: an answer, or the peer.
+/// Logs each signal of a target that is new. `by` names the source: a response,
+/// or the peer that reported it.
 void log_signals(const target_id& target, const catalog::target_signals& said,
-                 const dispatch::signal_news& news, const std::string& by);
+                 const dispatch::signal_news& changes, const std::string& by);
 
 struct node_tables
 {
@@ -57,68 +59,72 @@
 
     instant now() const { return time.now(); }
 
-    /// The node takes callers: it knows what is in force and isn't leaving.
+    /// Whether the node accepts callers: it knows the configuration, targets
+    /// and evacuations in force and isn't shutting down.
     bool ready() const;
 
     mesh::node_state state() const;
 
-    /// Requests a second that this host can carry.
+    /// Requests per second that this host can carry.
     double capacity() const;
 
-    /// Lets the target book know what the list says.
+    /// Updates the target registry from the target list. Call after each change
+    /// of the list.
     void update_target_registry();
 
-    /// Whether targets that are missing from the list may come back: nobody
-    /// heard from the platform for long, or not until a moment ago.
+    /// Whether targets that are missing from the list may return: no node could
+    /// confirm its list for too long, or could do so again only a moment ago.
     bool target_list_in_doubt() const;
 
-    /// Whether no node that is heard has had the newest list for longer than
-    /// news may take. Nodes ask the platform well before that, so it is so only
-    /// where none gets an answer; a list that is old because this host is
-    /// behind says nothing of the platform.
+    /// Whether no reachable node has had the newest target list within the
+    /// staleness bound. Nodes ask the platform well before that, so this is
+    /// true only if none of them gets an answer. A list that is stale because
+    /// only this host lags behind doesn't count.
     bool targets_unconfirmed() const;
 
-    /// Whether changes reach this node too late for it to give out work; see
-    /// mesh/news_lateness.hpp.
+    /// Whether updates reach this node too late for it to dispatch requests;
+    /// see mesh/news_lateness.hpp.
     bool updates_are_late() const;
 
-    /// How much longer than usual what comes to this host waits at present.
+    /// The present queueing delay of incoming traffic, beyond the usual one.
     duration queueing_delay() const;
 
-    /// Takes a newer configuration into force; older ones are passed over.
-    /// `text` is what to pass on to other nodes, `source` who brought it, for
-    /// the log. True if it is in force now.
+    /// Puts a configuration into force if it is newer than the present one.
+    /// `text` is passed on to other nodes; `source` names the sender for the
+    /// log. Returns true if it is in force now.
     bool apply_configuration(catalog::configuration_parts parts,
                              std::string text, const std::string& source);
 
-    /// Takes a newer state of evacuations into force, `source` being who
-    /// brought it, for the log. True if other data centres are evacuated now.
+    /// Puts a newer evacuation state into force. `source` names the sender for
+    /// the log. Returns true if the set of evacuated data centres changed.
     bool apply_evacuations(catalog::evacuation_state state,
                            const std::string& source);
 
-    /// Lets those limits that hold for all nodes together know the hosts that
-    /// share them. None do while this node can't know the others yet.
+    /// Updates the set of hosts that share the fleet-wide limits. The set is
+    /// empty until this node has had time to hear from the others.
     void update_sharing_hosts();
 
-    /// For how long a peer's word on its stock counts: a few beacons.
+    /// How long a peer's report of its stock is valid: a few heartbeats.
     duration stock_update_lifetime() const;
 
-    /// Of the configuration in force; 0 while none is known.
+    /// Version of the configuration in force; 0 if none is known.
     catalog::configuration_version version() const;
 
-    /// A peer has a configuration that this node hasn't.
+    /// Records that a peer has a newer configuration than this node.
     void note_configuration_announced();
 
-    /// The platform, or a peer with the same, says that what this node has
-    /// was the newest at `at`.
+    /// Records that the state of this node was the newest one at `at`, as
+    /// stated by the platform or by a peer with the same state.
     void confirm_configuration(instant at);
     void confirm_targets(instant at);
 
-    /// Some node had the newest list of targets at `at`, whatever this one has.
+    /// Records that some node had the newest target list at `at`, whether or
+    /// not this node has it.
     void note_targets_confirmed(instant at);
     void confirm_evacuations(instant at);
 
-    /// Notes whether a call to the platform was answered.
+    /// Records whether a call to the platform was answered. `detail` names the
+    /// call for the log.
     void note_platform_contact(bool reached, const std::string& detail);
 
     asio::io_context& io;
@@ -126,24 +132,25 @@
     random_source random;
     adapter::host_settings settings;
     const tuning_options options;
-    mesh::node_life life; ///< Of this process.
+    mesh::node_life life; ///< The incarnation of this process.
 
-    /// Null until one is known.
+    /// Null if none is known yet.
     std::shared_ptr<const catalog::configuration> config;
     std::string config_text;
     mesh::freshness configuration_freshness;
-    /// When a configuration was first heard of that isn't here yet.
+    /// When a newer configuration was first announced that this node doesn't
+    /// have yet.
     std::optional<instant> configuration_announced;
     catalog::target_list targets;
     mesh::freshness targets_freshness;
-    mesh::freshness fleet_targets_freshness; ///< Of any node's list.
+    mesh::freshness fleet_targets_freshness; ///< Newest of all nodes' lists.
     catalog::evacuation_list evacuations;
     mesh::freshness evacuations_freshness;
-    /// The latest change of targets that a peer spoke of.
+    /// The latest revision of the target list that a peer announced.
     catalog::revision targets_announced;
     mesh::news_lateness lateness;
-    instant targets_changed; ///< When the list last changed here.
-    /// When a time ended in which nobody could say what the newest list was.
+    instant targets_changed; ///< When this node's list last changed.
+    /// End of the last period in which no node could confirm its target list.
     std::optional<instant> confirmation_gap_ended;
     dispatch::target_book registry;
     dispatch::retry_allowance retries;
@@ -155,17 +162,19 @@
     telemetry::metrics metrics;
     unreadable_objects unreadable{metrics};
     platform_contact platform;
-    /// From callers. As long a memory as it takes callers to ask for entry
-    /// answers twice: their load then has followed the last answer.
+    /// Rate of requests from callers. The averaging window covers two fetches
+    /// of entry answers by a caller, after which the load reflects the last
+    /// answer.
     decaying_rate accepted_requests{seconds(4)};
     loop_lag lag{tick_period};
-    instant started; ///< When this process began to hear of others.
+    instant started; ///< When this process started to listen to peers.
     bool leaving = false;
 
-    /// Called whenever the platform answered any call; set by the feed.
+    /// Called whenever the platform answered any call. Set by platform_feed.
     std::function<void()> on_platform_answer = [] {};
 
-    /// Tells the other nodes at once; set by the mesh.
+    /// Sends an update to all peers without waiting for the next heartbeat. Set
+    /// by mesh_node.
     std::function<void()> broadcast_update = [] {};
 };
 
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -16,15 +16,16 @@
 namespace event = telemetry::event;
 
 constexpr duration log_period = milliseconds(100);
-constexpr duration upkeep_period = seconds(1);
+constexpr duration maintenance_period = seconds(1);
 
-/// Between two lines that sum up calls and traffic: 0.2 lines a second.
+/// Interval of the log lines that sum up calls and traffic: 0.2 lines a second.
 constexpr duration summary_period = seconds(10);
-constexpr duration drain_check = milliseconds(20);
-constexpr duration hand_over_limit = milliseconds(500);
+constexpr duration drain_check_period = milliseconds(20);
+constexpr duration token_hand_over_timeout = milliseconds(500);
 
-/// Kept back of the time until SIGKILL, to hand tokens on and end.
-constexpr duration reserve_at_end = milliseconds(700);
+/// Part of the grace period before SIGKILL that is reserved for transferring
+/// tokens and stopping.
+constexpr duration shutdown_reserve = milliseconds(700);
 
 std::uint64_t random_seed()
 {
@@ -75,20 +76,20 @@
     };
     const auto& listen = tables_.settings.listen;
     if (auto ok = serve(listen.readiness,
-                        [this](const simple_request& asked) {
-                            return answer_readiness(asked);
+                        [this](const simple_request& request) {
+                            return answer_readiness(request);
                         });
         !ok)
         return ok;
     if (auto ok = serve(listen.entry,
-                        [this](const simple_request& asked) {
-                            return answer_entry(asked);
+                        [this](const simple_request& request) {
+                            return answer_entry(request);
                         });
         !ok)
         return ok;
     if (auto ok = serve(options_.metrics_address,
-                        [this](const simple_request& asked) {
-                            return answer_metrics(asked);
+                        [this](const simple_request& request) {
+                            return answer_metrics(request);
                         });
         !ok)
         return ok;
@@ -106,7 +107,7 @@
     feed_.start();
     desk_.start();
     spawn(io_, watch_signals());
-    spawn(io_, housekeeping());
+    spawn(io_, run_periodic_tasks());
     log_event(event::node_started,
               {{"host", tables_.settings.host.str()},
                {"listen", tables_.settings.listen.callers},
@@ -114,8 +115,8 @@
     return {};
 }
 
-/// Nodes reach each other at the first internal port, which is the same on all
-/// hosts.
+/// All nodes listen for peers on the first internal port, which is the same on
+/// all hosts.
 void edge_node::add_seed_nodes()
 {
     std::vector<std::string> seeds;
@@ -142,8 +143,9 @@
 
 awaitable<void> edge_node::leave()
 {
-    const instant begun = tables_.now();
-    const instant end = begun + tables_.settings.stop_grace - reserve_at_end;
+    const instant started = tables_.now();
+    const instant end =
+        started + tables_.settings.stop_grace - shutdown_reserve;
     log_event(event::node_stopping,
               {{"under_way", std::to_string(callers_.under_way())}});
     tables_.leaving = true;
@@ -154,9 +156,9 @@
     callers_.stop_accepting();
     callers_.refuse_new();
     while (callers_.under_way() > 0 && tables_.now() < end)
-        co_await sleep_on(timer, drain_check);
+        co_await sleep_on(timer, drain_check_period);
     const std::size_t left = callers_.under_way();
-    co_await desk_.hand_over(hand_over_limit);
+    co_await desk_.hand_over(token_hand_over_timeout);
     log_event(left == 0 ? event::node_stopped : event::node_left_unclean,
               {{"under_way", std::to_string(left)}});
     log_.flush(tables_.now());
@@ -175,8 +177,8 @@
         return;
     }
     settings_text_ = std::move(text);
-    // Addresses and limits hold for the life of the process; what can move
-    // is where the store and other nodes are.
+    // Listening addresses and limits are fixed for this incarnation. Only the
+    // addresses of the store and the seeds, and the grace period, can change.
     tables_.settings.store_address = read->store_address;
     tables_.settings.seeds = read->seeds;
     tables_.settings.stop_grace = read->stop_grace;
@@ -184,16 +186,16 @@
     log_event(event::settings_reloaded, {{"path", options_.settings_path}});
 }
 
-awaitable<void> edge_node::housekeeping()
+awaitable<void> edge_node::run_periodic_tasks()
 {
     asio::steady_timer timer(io_);
-    instant next_upkeep;
+    instant next_maintenance;
     instant next_summary = tables_.now() + summary_period;
     for (;;) {
         const instant now = tables_.now();
         log_.flush(now);
-        if (now >= next_upkeep) {
-            next_upkeep = now + upkeep_period;
+        if (now >= next_maintenance) {
+            next_maintenance = now + maintenance_period;
             tables_.pool.drop_old(now);
             tables_.update_sharing_hosts();
             reload_settings();
@@ -208,9 +210,9 @@
     }
 }
 
-simple_answer edge_node::answer_readiness(const simple_request& asked)
+simple_answer edge_node::answer_readiness(const simple_request& request)
 {
-    if (asked.path != adapter::readiness_path)
+    if (request.path != adapter::readiness_path)
         return {404, "text/plain", "no such path\n"};
     if (tables_.ready())
         return {200, "text/plain", "ready\n"};
@@ -218,7 +220,7 @@
             tables_.leaving ? "leaving\n" : "no configuration yet\n"};
 }
 
-/// Added up over a fleet: what would be lost with all nodes.
+/// The sum over a fleet is the amount that would be lost if all nodes failed.
 void edge_node::log_tokens()
 {
     tokens free;
@@ -235,7 +237,7 @@
                {"spent", std::to_string(spent.count())}});
 }
 
-/// All nodes that callers may be told to use.
+/// The nodes that may be named to callers.
 std::vector<entry_node> edge_node::entry_nodes() const
 {
     std::vector<entry_node> out;
@@ -256,11 +258,11 @@
     return out;
 }
 
-simple_answer edge_node::answer_entry(const simple_request& asked)
+simple_answer edge_node::answer_entry(const simple_request& request)
 {
-    if (asked.path != adapter::entry_path)
+    if (request.path != adapter::entry_path)
         return {404, "text/plain", "no such path\n"};
-    const auto question = adapter::read_entry_question(asked.query);
+    const auto question = adapter::read_entry_question(request.query);
     entry_query asker{question.data_center, question.region, {}};
     if (tables_.config)
         asker.regions = tables_.config->regions_of_host(question.host_name);
@@ -314,9 +316,9 @@
     }
 }
 
-simple_answer edge_node::answer_metrics(const simple_request& asked)
+simple_answer edge_node::answer_metrics(const simple_request& request)
 {
-    if (asked.path != options_.metrics_path)
+    if (request.path != options_.metrics_path)
         return {404, "text/plain", "no such path\n"};
     update_gauges();
     return {200, "text/plain; version=0.0.4", tables_.metrics.to_prometheus()};
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -10,17 +10,17 @@
 using telemetry::log_event;
 namespace event = telemetry::event;
 
-/// For this long after the platform came back, entries that are missing from
-/// its list may still return: targets write anew within two seconds.
-constexpr duration list_doubt = milliseconds(2500);
+/// For this long after the platform became reachable again, entries missing
+/// from its list may still return: targets rewrite theirs within two seconds.
+constexpr duration entry_return_window = milliseconds(2500);
 
-/// Until a node counts itself among the hosts that share a limit: by then it
-/// has heard of the others.
-constexpr duration acquaintance = seconds(3);
+/// Time after the start before a node takes a share of fleet-wide limits: by
+/// then it has heard from the other nodes.
+constexpr duration discovery_period = seconds(3);
 
 dispatch::target_book_options
-book_options(const adapter::host_settings& settings,
-             dispatch::target_book_options out)
+registry_options(const adapter::host_settings& settings,
+                 dispatch::target_book_options out)
 {
     out.self = settings.host;
     out.regions = settings.regions;
@@ -28,7 +28,7 @@
     return out;
 }
 
-/// Of a service without a rate nothing needs to be known.
+/// Services without a cold rate are omitted.
 std::unordered_map<service_id, dispatch::cold_traits>
 cold_traits_of(const catalog::configuration& config,
                const adapter::host_settings& settings)
@@ -56,17 +56,17 @@
 } // namespace
 
 void log_signals(const target_id& target, const catalog::target_signals& said,
-                 const dispatch::signal_news& news, const std::string& by)
+                 const dispatch::signal_news& changes, const std::string& by)
 {
-    if (news.leaving)
+    if (changes.leaving)
         log_event(event::target_leaving,
                   {{"target", target.str()}, {"by", by}});
-    if (news.rest)
+    if (changes.rest)
         log_event(event::target_rests,
                   {{"target", target.str()},
                    {"rest_ms", milliseconds_text(*said.rest)},
                    {"by", by}});
-    if (news.rate_limit)
+    if (changes.rate_limit)
         log_event(event::target_limited,
                   {{"target", target.str()},
                    {"rate", said.rate_limit ? std::to_string(*said.rate_limit)
@@ -80,10 +80,10 @@
     : io(context), time(clock_used), random(seed), settings(std::move(given)),
       options(std::move(tuning)), life(random.bits() >> 1),
       lateness(settings.news_bound()),
-      registry(book_options(settings, options.registry)),
+      registry(registry_options(settings, options.registry)),
       retries(retry_options(settings, options.retries)), poison({}),
       losses(settings.first_start, clock_used.now(),
-             {.acquaintance = acquaintance}),
+             {.acquaintance = discovery_period}),
       peers(settings.host, {}), pool(context, options.pool),
       started(clock_used.now())
 {}
@@ -124,15 +124,16 @@
     return request_capacity(settings.cores, settings.link_bits_per_second);
 }
 
-/// This node's own contact says little: most nodes don't call the platform at
-/// all while others confirm their list, and one call may fail for many
-/// reasons. Entries lapse only while the platform itself is away, and then
-/// nobody's list is confirmed.
+/// Doesn't depend on this node's own calls to the platform: most nodes make
+/// none while others confirm their list, and a single call may fail for many
+/// reasons. Entries expire wrongly only while the platform itself is
+/// unreachable, and then no node's list is confirmed.
 bool node_tables::target_list_in_doubt() const
 {
-    const bool just_back =
-        confirmation_gap_ended && now() - *confirmation_gap_ended < list_doubt;
-    return just_back || targets_unconfirmed();
+    const bool just_confirmed =
+        confirmation_gap_ended &&
+        now() - *confirmation_gap_ended < entry_return_window;
+    return just_confirmed || targets_unconfirmed();
 }
 
 bool node_tables::targets_unconfirmed() const
@@ -191,26 +192,26 @@
 {
     if (!evacuations.replace_all(std::move(state)))
         return false;
-    const auto& places = evacuations.state().data_centers;
-    const std::size_t back = registry.set_evacuated(places, now());
+    const auto& evacuated = evacuations.state().data_centers;
+    const std::size_t returned = registry.set_evacuated(evacuated, now());
     std::string names;
-    for (const data_center_id& it : places)
+    for (const data_center_id& it : evacuated)
         names += (names.empty() ? "" : " ") + it.str();
     log_event(event::evacuations_changed,
               {{"data_centers", names},
                {"as_of", std::to_string(evacuations.as_of().value())},
-               {"targets_back", std::to_string(back)},
+               {"targets_back", std::to_string(returned)},
                {"source", source}});
     return true;
 }
 
-/// A node that hears nobody, though there are others, would take each limit for
-/// its own.
+/// A node that hears from no peer although there are others would otherwise
+/// claim each limit for itself.
 void node_tables::update_sharing_hosts()
 {
-    const bool is_acquainted = now() - started >= acquaintance &&
-                               (!peers.rows().empty() || settings.is_alone());
-    if (!is_acquainted) {
+    const bool knows_peers = now() - started >= discovery_period &&
+                             (!peers.rows().empty() || settings.is_alone());
+    if (!knows_peers) {
         registry.set_carrier_hosts({});
         retries.set_hosts(0, now());
         return;
@@ -222,8 +223,8 @@
 
 duration node_tables::stock_update_lifetime() const
 {
-    constexpr int beacons = 5;
-    return peers.period() * beacons;
+    constexpr int heartbeats = 5;
+    return peers.period() * heartbeats;
 }
 
 catalog::configuration_version node_tables::version() const
@@ -253,9 +254,9 @@
 
 void node_tables::note_targets_confirmed(instant at)
 {
-    const bool was_old = targets_unconfirmed();
+    const bool was_unconfirmed = targets_unconfirmed();
     fleet_targets_freshness.confirm(at);
-    if (was_old && !targets_unconfirmed())
+    if (was_unconfirmed && !targets_unconfirmed())
         confirmation_gap_ended = now();
 }
 
