--- a/include/fennelladder/edge/mesh_node.hpp
+++ b/include/fennelladder/edge/mesh_node.hpp
@@ -1,8 +1,9 @@
-// A node's part in the mesh: hears and sends beacons, carries the transfers
-// of tokens, and has what beacons only announce fetched (edge/update_exchange).
+// A node's side of the mesh protocol: exchanges heartbeats and token messages
+// with its peers, and starts fetches of updates that heartbeats announce
+// (edge/update_exchange).
 //
-// Beacons are datagrams to each node once a period, and to all at once when
-// there is news; these carry the latest changes of targets.
+// Heartbeats are datagrams, sent to each node once per period and to all nodes
+// at once when something changed. The latter carry the latest target changes.
 //
 // Not thread safe.
 
@@ -22,35 +23,37 @@
 class mesh_node
 {
 public:
-    /// `address`: where other nodes reach this one, by datagram and
-    /// connection alike.
+    /// `address` is the IP and port on which this node listens for peers, both
+    /// for datagrams and for connections.
     mesh_node(node_tables& tables, std::string address);
 
-    /// Where token messages go. Call before start().
+    /// Sets the receiver of token messages. Call before start().
     void set_token_desk(token_desk& desk);
 
-    /// Fails with the reason when the address can't be used.
+    /// Opens the sockets and starts to send and receive. Fails if the address
+    /// can't be used.
     status start();
 
+    /// Sends one datagram. It may be lost without an error.
     void send(const std::string& address, const mesh::datagram& message);
 
-    /// Addresses of nodes learned elsewhere.
+    /// Adds peer addresses from other sources, such as seeds and the platform.
     void add_peer_addresses(const std::vector<std::string>& addresses);
 
     const std::string& address() const { return address_; }
 
-    /// Writes a line with what was sent since the last one, as
-    /// "datagrams/bytes" of each kind.
+    /// Logs the traffic sent since the last call, as "datagrams/bytes" for each
+    /// kind.
     void log_traffic();
 
 private:
-    /// What a datagram is sent for.
+    /// The purpose of a datagram.
     enum class traffic : std::uint8_t
     {
-        beacons,   ///< Regular ones.
-        news,      ///< Brief ones, for a change.
-        greetings, ///< To nodes that are new here.
-        tokens     ///< Transfers.
+        heartbeats,    ///< Periodic ones.
+        updates,       ///< Brief heartbeats, sent when something changed.
+        introductions, ///< Heartbeats to newly discovered nodes.
+        tokens         ///< Token messages.
     };
 
     struct traffic_count
@@ -61,42 +64,43 @@
 
     awaitable<void> receive();
     awaitable<void> tick();
-    void take(const mesh::datagram& message, const std::string& from);
-    void take_beacon(const mesh::beacon& from);
-    void take_signals(const mesh::beacon& from, instant sent);
-    void note_death(const host_id& host, instant now);
-    void hear_losses(const mesh::beacon& from, instant now);
-    void take_holdings(const mesh::beacon& from);
-    duration way_allowance(instant now) const;
-    void note_tick(instant now);
-    void note_lateness();
+    void handle_datagram(const mesh::datagram& message,
+                         const std::string& from);
+    void handle_heartbeat(const mesh::beacon& from);
+    void apply_target_signals(const mesh::beacon& from, instant sent);
+    void handle_node_death(const host_id& host, instant now);
+    void merge_loss_history(const mesh::beacon& from, instant now);
+    void apply_load_and_stock(const mesh::beacon& from);
+    duration transit_allowance(instant now) const;
+    void record_tick(instant now);
+    void report_lateness();
     void note_unreadable(const std::string& sender, const error& cause);
-    void take_freshness(const mesh::beacon& from, std::optional<duration> delay,
-                        instant now);
-    mesh::beacon own_beacon();
+    void apply_freshness(const mesh::beacon& from,
+                         std::optional<duration> delay, instant now);
+    mesh::beacon make_heartbeat();
     void send_to_all(const std::vector<std::string>& addresses,
                      const mesh::datagram& message, traffic kind);
-    void send_beacon(const std::vector<std::string>& addresses);
-    void send_news(const std::vector<std::string>& addresses);
-    bool missed_news(const mesh::node_row& peer) const;
-    void send_due_beacons();
-    void greet(const std::string& address);
-    void spread();
-    awaitable<void> spread_when_due();
+    void send_heartbeat(const std::vector<std::string>& addresses);
+    void send_update(const std::vector<std::string>& addresses);
+    bool missed_update(const mesh::node_row& peer) const;
+    void send_due_heartbeats();
+    void send_introduction(const std::string& address);
+    void schedule_update();
+    awaitable<void> send_scheduled_update();
 
     node_tables& tables_;
     std::string address_;
     token_desk* desk_ = nullptr;
     udp::socket socket_;
-    update_exchange news_;
+    update_exchange exchange_;
     telemetry::counter& sent_;
     telemetry::counter& failed_;
     telemetry::gauge& lag_gauge_;
-    std::array<traffic_count, 4> traffic_{}; ///< Since the last line.
+    std::array<traffic_count, 4> traffic_{}; ///< Since the last log_traffic().
     std::array<char, 65536> datagram_{};
     std::uint64_t sequence_ = 0;
-    bool spreading_ = false;
-    instant last_spread_;
+    bool update_scheduled_ = false;
+    instant last_update_;
     bool was_late_ = false;
 };
 
--- a/include/fennelladder/edge/update_exchange.hpp
+++ b/include/fennelladder/edge/update_exchange.hpp
@@ -1,19 +1,20 @@
-// Brings targets and configurations from nodes that know more, and serves
-// those that know less.
+// Fetches targets and configurations from nodes that have newer ones, and
+// serves them to nodes that have older ones.
 //
-//     update_exchange news(tables, address);
-//     if (auto ok = news.start(); !ok) ...
-//     news.on_heartbeat(beacon);                 // fetches what the node lacks
+//     update_exchange exchange(tables, address);
+//     if (auto ok = exchange.start(); !ok) ...
+//     exchange.on_heartbeat(heartbeat);  // fetches what the node lacks
 //
-// Targets and configurations are fetched apart, one exchange each at a time,
-// so that a target's leaving never waits for a megabyte. Each goes on until
-// no living node is known that has more. Over a connection (see peer_stream)
-// goes one question and one answer; a configuration travels packed, and is
-// packed once, by the node that got it from the platform. A node that sends
-// as many as its link carries answers "busy" and names nodes that have it by
-// now: a tree grows whose root may be a small host.
+// Targets and configurations are fetched separately, each by one exchange at a
+// time, so that a target's leaving never waits for a megabyte. Fetching
+// continues until no live node is known to have a newer version. Each
+// connection (see peer_stream) carries one request and one reply. A
+// configuration is sent compressed, and compressed only once, by the node that
+// got it from the platform. A node that already sends as many as its link can
+// carry replies "busy" and names nodes that have it by now, so a distribution
+// tree forms even if its root is a small host.
 //
-// What a peer sends is checked; bytes that can't be read are logged, and
+// Replies of peers are validated. If one can't be parsed, that is logged, and
 // another node is asked.
 //
 // Not thread safe.
@@ -36,27 +37,26 @@
 class update_exchange
 {
 public:
-    /// `address`: where other nodes reach this one.
+    /// `address` is the IP and port on which this node listens for peers.
     update_exchange(node_tables& tables, std::string address);
 
-    /// Serves other nodes. Fails with the reason when the address can't be
-    /// used.
+    /// Starts to serve other nodes. Fails if the address can't be used.
     status start();
 
-    /// Fetches what the sender of the beacon knows beyond this node. The
-    /// roster has to have heard it before.
+    /// Starts to fetch whatever the sender of the heartbeat has that is newer.
+    /// The membership view must have processed the heartbeat before.
     void on_heartbeat(const mesh::beacon& from);
 
 private:
-    /// The fetching of one part.
-    struct fetching
+    /// State and counters of the fetches of one part.
+    struct fetch_state
     {
-        fetching(telemetry::metrics& metrics, mesh::sync_part wanted);
+        fetch_state(telemetry::metrics& metrics, mesh::sync_part wanted);
 
         telemetry::counter& count_of(mesh::fetch_end end) const;
 
         const mesh::sync_part part;
-        const std::string name; ///< In log lines and metrics.
+        const std::string name; ///< Used in log lines and metrics.
         bool under_way = false;
         mesh::source_rests rests;
         telemetry::counter& done;
@@ -65,8 +65,8 @@
         telemetry::counter& failed;
     };
 
-    /// A configuration as it goes over the wire, to all that ask.
-    struct wire_form
+    /// An encoded configuration, shared by all replies that contain it.
+    struct encoded_configuration
     {
         catalog::configuration_version version;
         std::shared_ptr<const std::string> bytes; ///< Null: none yet.
@@ -74,22 +74,24 @@
 
     bool is_ahead(const mesh::beacon& from, mesh::sync_part part) const;
 
-    void begin(fetching& what);
-    awaitable<void> fetch_all(fetching& what);
-    awaitable<mesh::fetch_end> fetch_from(fetching& what, std::string address);
-    awaitable<bool> exchange(peer_stream& stream, const fetching& what,
-                             const std::string& address, std::string& answer);
-    duration head_start(const fetching& what);
+    void start_fetch(fetch_state& fetch);
+    awaitable<void> fetch_all(fetch_state& fetch);
+    awaitable<mesh::fetch_end> fetch_from(fetch_state& fetch,
+                                          std::string address);
+    awaitable<bool> query(peer_stream& stream, const fetch_state& fetch,
+                          const std::string& address, std::string& answer);
+    duration fetch_delay(const fetch_state& fetch);
     std::vector<mesh::news_source> sources_of(mesh::sync_part part);
-    void add_named(std::vector<mesh::news_source>& to);
-    void note_end(fetching& what, const std::string& address,
-                  mesh::fetch_end end);
-    mesh::fetch_end take_answer(const fetching& what, const std::string& bytes,
-                                const std::string& source);
-    mesh::fetch_end take_targets(const mesh::sync_reply& reply);
+    void add_suggested_sources(std::vector<mesh::news_source>& to);
+    void record_result(fetch_state& fetch, const std::string& address,
+                       mesh::fetch_end end);
+    mesh::fetch_end handle_reply(const fetch_state& fetch,
+                                 const std::string& bytes,
+                                 const std::string& source);
+    mesh::fetch_end apply_targets(const mesh::sync_reply& reply);
     mesh::fetch_end apply_configuration(mesh::sync_reply reply,
                                         const std::string& source);
-    void take_named(const mesh::sync_reply& reply);
+    void record_suggested_sources(const mesh::sync_reply& reply);
     void note_unreadable(const std::string& source, const error& cause);
 
     awaitable<void> accept();
@@ -103,18 +105,19 @@
                                mesh::transfer_id slot);
     mesh::sync_reply targets_for(const mesh::sync_ask& ask) const;
     mesh::sync_reply busy_reply() const;
-    std::shared_ptr<const std::string> wire_form_for(const mesh::sync_ask& ask);
-    void keep_wire_form(std::string packed);
+    std::shared_ptr<const std::string>
+    encoded_reply_for(const mesh::sync_ask& ask);
+    void cache_encoded(std::string packed);
 
     node_tables& tables_;
     std::string address_;
     tcp::acceptor acceptor_;
     mesh::transfer_slots slots_;
-    fetching targets_;
-    fetching configuration_;
-    wire_form wire_form_;
-    /// Nodes named by busy ones, and the version they have.
-    std::map<std::string, catalog::configuration_version> named_;
+    fetch_state targets_;
+    fetch_state configuration_;
+    encoded_configuration encoded_;
+    /// Sources that busy nodes suggested, and the version they have.
+    std::map<std::string, catalog::configuration_version> suggested_;
     telemetry::counter& fetched_bytes_;
     telemetry::counter& sent_;
     telemetry::counter& send_failed_;
--- a/libs/edge/mesh_node.cpp
+++ b/libs/edge/mesh_node.cpp
@@ -15,37 +15,36 @@
 constexpr const char* datagrams_metric = "fennelladder_mesh_datagrams_total";
 constexpr const char* lag_metric = "fennelladder_loop_lag_milliseconds";
 
-/// A loop that stood still for longer is worth a line: callers felt it.
-constexpr duration lag_reported = milliseconds(250);
-
-/// How long a death of a target is told to others.
-constexpr duration poison_span = seconds(20);
-constexpr std::size_t poison_limit = 24;
-
-/// Loads and stocks named in one beacon, so that it stays in one packet in
-/// the usual case.
-constexpr std::size_t load_limit = 32;
-constexpr std::size_t stock_limit = 32;
-constexpr std::size_t limits_limit = 16;
-constexpr std::size_t leaving_limit = 16;
-
-/// Changes of targets that travel inside a beacon, of about 100 bytes each, so
-/// that it stays in one packet. More at once are fetched.
-constexpr std::size_t news_limit = 12;
-
-/// Between two rounds of news by one node. What changes within it goes out
-/// together, in place of a round to everybody for each change: with 300 nodes
-/// and 3,000 targets the middle node has 81 kB/s for 96 kB/s, measured with the
-/// whole fleet. Small beside the seconds within which changes have to be in
-/// force; the first of several isn't held up.
-constexpr duration news_pause = milliseconds(200);
-
-/// IPv4 and UDP headers, which a link carries as well.
-constexpr std::size_t datagram_head = 28;
-
-/// Keeps the rows with the most of `member`. Cut off by name, as they come, it
-/// would be the same teams each time of whose stock no other node ever hears,
-/// and the same targets that look idle to all.
+/// A longer stall of the event loop delays callers noticeably and is logged.
+constexpr duration min_logged_lag = milliseconds(250);
+
+/// How long the death of a target is reported to peers.
+constexpr duration poison_report_time = seconds(20);
+constexpr std::size_t max_poison_records = 24;
+
+/// Limits on the entries in one heartbeat, so that it usually fits one packet.
+constexpr std::size_t max_loads = 32;
+constexpr std::size_t max_stocks = 32;
+constexpr std::size_t max_rate_limits = 16;
+constexpr std::size_t max_leaving_targets = 16;
+
+/// Target changes carried in one heartbeat, of about 100 bytes each, so that it
+/// fits one packet. If there are more, peers fetch them.
+constexpr std::size_t max_target_changes = 12;
+
+/// Minimum interval between two updates by one node. Changes within it are sent
+/// together instead of one message to every peer for each change: with 300
+/// nodes and 3,000 targets, that reduces the traffic of the median node from 96
+/// to 81 kB/s. Short compared with the seconds within which changes have to be
+/// in force, and the first change is sent without delay.
+constexpr duration min_update_interval = milliseconds(200);
+
+/// Bytes of the IPv4 and UDP headers, which count as traffic of the link.
+constexpr std::size_t datagram_header_bytes = 28;
+
+/// Keeps the `limit` rows with the largest `member`. If the list, which is
+/// ordered by name, were truncated instead, peers would never hear of the stock
+/// of the same teams, and the same targets would always look idle to them.
 template <class List, class Member>
 void keep_largest(List& list, std::size_t limit, Member member)
 {
@@ -60,13 +59,13 @@
 newest_limits(std::vector<dispatch::limit_word> all)
 {
     std::ranges::sort(all, {}, &dispatch::limit_word::ago);
-    if (all.size() > limits_limit)
-        all.resize(limits_limit);
+    if (all.size() > max_rate_limits)
+        all.resize(max_rate_limits);
     return all;
 }
 
-/// What changes all the time anyway comes with the next regular beacon; without
-/// it the news fit one packet.
+/// Removes the fields that change constantly and are sent with the next
+/// periodic heartbeat anyway, so that the update fits one packet.
 void make_brief(mesh::beacon& it)
 {
     it.is_brief = true;
@@ -78,7 +77,7 @@
 
 mesh_node::mesh_node(node_tables& tables, std::string address)
     : tables_(tables), address_(std::move(address)), socket_(tables.io),
-      news_(tables, address_),
+      exchange_(tables, address_),
       sent_(tables.metrics.counter_of(datagrams_metric, {{"result", "sent"}})),
       failed_(
           tables.metrics.counter_of(datagrams_metric, {{"result", "failed"}})),
@@ -94,7 +93,8 @@
 {
     const auto endpoint = parse_endpoint(address_);
     if (!endpoint)
-        return fail(error_code::invalid, "not an address: " + address_);
+        return fail(error_code::invalid,
+                    "not an IP address and port: " + address_);
     try {
         socket_.open(udp::v4());
         socket_.bind(udp::endpoint(endpoint->address(), endpoint->port()));
@@ -102,9 +102,9 @@
     } catch (const std::exception& failure) {
         return fail(error_code::unavailable, address_ + ": " + failure.what());
     }
-    if (auto ok = news_.start(); !ok)
+    if (auto ok = exchange_.start(); !ok)
         return ok;
-    tables_.broadcast_update = [this] { spread(); };
+    tables_.broadcast_update = [this] { schedule_update(); };
     spawn(tables_.io, receive());
     spawn(tables_.io, tick());
     return {};
@@ -139,14 +139,14 @@
         socket_.send_to(asio::buffer(bytes),
                         udp::endpoint(endpoint->address(), endpoint->port()), 0,
                         ec);
-        // A datagram that can't be sent is lost like any other.
+        // A send error is treated like a lost datagram.
         (ec ? failed_ : sent_).add();
         ++count.datagrams;
-        count.bytes += bytes.size() + datagram_head;
+        count.bytes += bytes.size() + datagram_header_bytes;
     }
 }
 
-mesh::beacon mesh_node::own_beacon()
+mesh::beacon mesh_node::make_heartbeat()
 {
     mesh::beacon out;
     out.host = tables_.settings.host;
@@ -172,98 +172,102 @@
     out.fleets_lost = tables_.losses.known(tables_.now());
     out.heard = tables_.peers.heard_lately(tables_.now());
     out.load = tables_.registry.own_load();
-    keep_largest(out.load, load_limit, &dispatch::target_load::running);
+    keep_largest(out.load, max_loads, &dispatch::target_load::running);
     if (desk_ != nullptr)
         out.stock = desk_->own_stock();
-    keep_largest(out.stock, stock_limit, &mesh::token_stock::free);
+    keep_largest(out.stock, max_stocks, &mesh::token_stock::free);
     out.limits = newest_limits(tables_.registry.own_limits(tables_.now()));
-    out.leaving = tables_.registry.told_leaving(leaving_limit, tables_.now());
-    out.poison =
-        tables_.poison.recent(poison_span, poison_limit, tables_.now());
+    out.leaving =
+        tables_.registry.told_leaving(max_leaving_targets, tables_.now());
+    out.poison = tables_.poison.recent(poison_report_time, max_poison_records,
+                                       tables_.now());
     return out;
 }
 
-/// A beacon to a node that is new here, with the others it may not know.
-void mesh_node::greet(const std::string& address)
+/// Sends a heartbeat to a newly discovered node, with the addresses of other
+/// nodes that it may not know.
+void mesh_node::send_introduction(const std::string& address)
 {
     mesh::datagram message;
     mesh::roster& peers = tables_.peers;
-    message.hello = own_beacon();
+    message.hello = make_heartbeat();
     message.hello->introduced =
         peers.introductions(peers.options().introductions, tables_.now());
-    send_to_all({address}, message, traffic::greetings);
+    send_to_all({address}, message, traffic::introductions);
 }
 
-void mesh_node::send_beacon(const std::vector<std::string>& addresses)
+void mesh_node::send_heartbeat(const std::vector<std::string>& addresses)
 {
     if (addresses.empty())
         return;
     mesh::datagram message;
     mesh::roster& peers = tables_.peers;
-    message.hello = own_beacon();
+    message.hello = make_heartbeat();
     message.hello->introduced =
         peers.introductions(peers.options().introductions_each, tables_.now());
-    send_to_all(addresses, message, traffic::beacons);
+    send_to_all(addresses, message, traffic::heartbeats);
 }
 
-/// A beacon with the latest changes of targets: a target's leaving is known
-/// one packet later, without a connection that could be slow or busy.
-void mesh_node::send_news(const std::vector<std::string>& addresses)
+/// Sends a heartbeat with the latest target changes. Peers learn that a target
+/// is leaving from one packet, without a connection that could be slow or busy.
+void mesh_node::send_update(const std::vector<std::string>& addresses)
 {
     if (addresses.empty())
         return;
     mesh::datagram message;
-    message.hello = own_beacon();
+    message.hello = make_heartbeat();
     if (tables_.targets.known())
-        message.hello->target_news = tables_.targets.latest_news(news_limit);
+        message.hello->target_news =
+            tables_.targets.latest_news(max_target_changes);
     if (!tables_.leaving)
         make_brief(*message.hello);
-    send_to_all(addresses, message, traffic::news);
+    send_to_all(addresses, message, traffic::updates);
 }
 
-/// Whether a peer's beacon shows that it missed what this node knows: it was
-/// sent after this node had heard of it.
-bool mesh_node::missed_news(const mesh::node_row& peer) const
+/// Whether the peer's last heartbeat shows that it missed an update: it was
+/// received after this node's target list changed, but has an older list.
+bool mesh_node::missed_update(const mesh::node_row& peer) const
 {
     return peer.last.targets_as_of < tables_.targets.latest_change() &&
            peer.heard > tables_.targets_changed;
 }
 
-void mesh_node::send_due_beacons()
+void mesh_node::send_due_heartbeats()
 {
     std::vector<std::string> due = tables_.peers.due(tables_.now());
     std::set<std::string> behind;
     for (const auto& [host, row] : tables_.peers.rows())
-        if (missed_news(row))
+        if (missed_update(row))
             behind.insert(row.last.peer_address);
     const auto first_behind = std::stable_partition(
         due.begin(), due.end(),
         [&](const std::string& it) { return !behind.contains(it); });
-    send_news({first_behind, due.end()});
+    send_update({first_behind, due.end()});
     due.erase(first_behind, due.end());
-    send_beacon(due);
+    send_heartbeat(due);
 }
 
-/// Gathers what changes in one go, or soon after the last round, into one round
-/// of beacons.
-void mesh_node::spread()
+/// Combines changes that are made together, or soon after the last update, into
+/// one update to all peers.
+void mesh_node::schedule_update()
 {
-    if (spreading_)
+    if (update_scheduled_)
         return;
-    spreading_ = true;
-    spawn(tables_.io, spread_when_due());
+    update_scheduled_ = true;
+    spawn(tables_.io, send_scheduled_update());
 }
 
-awaitable<void> mesh_node::spread_when_due()
+awaitable<void> mesh_node::send_scheduled_update()
 {
     asio::steady_timer timer(tables_.io);
-    const duration rested = tables_.now() - last_spread_;
-    // A node that leaves can't wait: it may be gone.
-    const bool at_once = rested >= news_pause || tables_.leaving;
-    co_await sleep_on(timer, at_once ? duration(0) : news_pause - rested);
-    spreading_ = false;
-    last_spread_ = tables_.now();
-    send_news(tables_.peers.all_addresses());
+    const duration elapsed = tables_.now() - last_update_;
+    // A node that is shutting down can't wait: it may stop before.
+    const bool at_once = elapsed >= min_update_interval || tables_.leaving;
+    co_await sleep_on(timer,
+                      at_once ? duration(0) : min_update_interval - elapsed);
+    update_scheduled_ = false;
+    last_update_ = tables_.now();
+    send_update(tables_.peers.all_addresses());
 }
 
 void mesh_node::log_traffic()
@@ -273,16 +277,16 @@
         return std::to_string(it.datagrams) + "/" + std::to_string(it.bytes);
     };
     telemetry::log_event(event::mesh_sent,
-                         {{"beacons", text(traffic::beacons)},
-                          {"news", text(traffic::news)},
-                          {"greetings", text(traffic::greetings)},
+                         {{"beacons", text(traffic::heartbeats)},
+                          {"news", text(traffic::updates)},
+                          {"greetings", text(traffic::introductions)},
                           {"tokens", text(traffic::tokens)}});
     traffic_ = {};
 }
 
-/// Peers stop naming a late node to callers, and name it again afterwards, as
-/// soon as they hear.
-void mesh_node::note_lateness()
+/// Tells peers at once when this node becomes late or is no longer late, since
+/// they don't name a late node to callers.
+void mesh_node::report_lateness()
 {
     const bool late = tables_.updates_are_late();
     if (late == was_late_)
@@ -292,16 +296,16 @@
               {{"targets_age_ms",
                 milliseconds_text(tables_.targets_freshness.age(tables_.now())
                                       .value_or(duration(0)))}});
-    spread();
+    schedule_update();
 }
 
 awaitable<void> mesh_node::tick()
 {
     asio::steady_timer timer(tables_.io);
     for (;;) {
-        note_tick(tables_.now());
-        note_lateness();
-        send_due_beacons();
+        record_tick(tables_.now());
+        report_lateness();
+        send_due_heartbeats();
         tables_.peers.forget_old(tables_.now());
         co_await sleep_on(timer, tick_period);
     }
@@ -317,7 +321,7 @@
         const std::size_t n = co_await socket_.async_receive_from(
             asio::buffer(datagram_), from, into(ec));
         if (ec) {
-            // An earlier datagram came back as unreachable; the next may not.
+            // An ICMP error for an earlier datagram; later ones may succeed.
             asio::steady_timer timer(tables_.io);
             co_await sleep_on(timer, milliseconds(1));
             continue;
@@ -330,7 +334,7 @@
         }
         if (got->left_out > 0)
             note_unreadable(sender, {error_code::corrupt, "parts left out"});
-        take(*got, sender + ":" + std::to_string(from.port()));
+        handle_datagram(*got, sender + ":" + std::to_string(from.port()));
     }
 }
 
@@ -340,10 +344,11 @@
                             catalog::revision(), cause);
 }
 
-void mesh_node::take(const mesh::datagram& message, const std::string& from)
+void mesh_node::handle_datagram(const mesh::datagram& message,
+                                const std::string& from)
 {
     if (message.hello)
-        take_beacon(*message.hello);
+        handle_heartbeat(*message.hello);
     if (desk_ == nullptr)
         return;
     if (message.ask)
@@ -356,24 +361,24 @@
         desk_->on_gift_taken(*message.gift_taken);
 }
 
-void mesh_node::take_beacon(const mesh::beacon& from)
+void mesh_node::handle_heartbeat(const mesh::beacon& from)
 {
     const instant now = tables_.now();
-    const mesh::roster_news news = tables_.peers.hear(from, now);
+    const mesh::roster_news observed = tables_.peers.hear(from, now);
     add_peer_addresses(from.introduced);
-    if (news.died)
-        note_death(from.host, now);
-    hear_losses(from, now);
+    if (observed.died)
+        handle_node_death(from.host, now);
+    merge_loss_history(from, now);
     if (!from.is_brief)
-        take_holdings(from);
+        apply_load_and_stock(from);
     for (const dispatch::poison_record& it : from.poison)
         tables_.poison.merge(it, now);
-    if (news.new_node) {
+    if (observed.new_node) {
         log_event(event::node_heard,
                   {{"node", from.host.str()}, {"address", from.peer_address}});
-        greet(from.peer_address);
+        send_introduction(from.peer_address);
     }
-    if (news.state_changed)
+    if (observed.state_changed)
         log_event(event::node_state_changed,
                   {{"node", from.host.str()},
                    {"state", std::to_string(static_cast<int>(from.state))}});
@@ -381,37 +386,38 @@
         tables_.update_target_registry();
     if (from.evacuations)
         tables_.apply_evacuations(*from.evacuations, from.host.str());
-    take_signals(from, now - news.delay.value_or(duration(0)));
-    if (!news.late)
-        take_freshness(from, news.delay, now);
-    news_.on_heartbeat(from);
+    apply_target_signals(from, now - observed.delay.value_or(duration(0)));
+    if (!observed.late)
+        apply_freshness(from, observed.delay, now);
+    exchange_.on_heartbeat(from);
 }
 
-void mesh_node::note_death(const host_id& host, instant now)
+void mesh_node::handle_node_death(const host_id& host, instant now)
 {
     tables_.losses.note_death(tables_.peers.host_count(), now);
     if (desk_ != nullptr)
         desk_->on_death(host);
 }
 
-/// A younger node knows less than this one has seen.
-void mesh_node::hear_losses(const mesh::beacon& from, instant now)
+/// Ignores nodes that started later: they have seen less than this one.
+void mesh_node::merge_loss_history(const mesh::beacon& from, instant now)
 {
     const bool is_older = from.up_for && *from.up_for > now - tables_.started;
     if (is_older && from.fleets_lost)
         tables_.losses.hear(*from.fleets_lost, now);
 }
 
-/// A beacon without load and stock says nothing of them; taken as empty, every
-/// change of a target made its targets look idle and its tokens gone.
-void mesh_node::take_holdings(const mesh::beacon& from)
+/// Not called for brief heartbeats, which carry no load and stock. Treating the
+/// missing fields as empty made the sender's targets look idle and its tokens
+/// gone after every target change.
+void mesh_node::apply_load_and_stock(const mesh::beacon& from)
 {
     tables_.registry.peer_load(from.host, from.load);
     if (desk_ != nullptr)
         desk_->on_stock(from);
 }
 
-void mesh_node::take_signals(const mesh::beacon& from, instant sent)
+void mesh_node::apply_target_signals(const mesh::beacon& from, instant sent)
 {
     for (const auto& it :
          tables_.registry.peer_leaving(from.leaving, tables_.now()))
@@ -422,50 +428,52 @@
                     from.host.str());
 }
 
-/// A peer that was up to date at some time says what the newest was then. A
-/// node that has that, or more, was up to date then as well.
-void mesh_node::take_freshness(const mesh::beacon& from,
-                               std::optional<duration> delay, instant now)
+/// A peer that was up to date at some time reports which state was the newest
+/// then. If this node has that state or a newer one, it was up to date then
+/// too.
+void mesh_node::apply_freshness(const mesh::beacon& from,
+                                std::optional<duration> delay, instant now)
 {
-    // One that doesn't say when it was sent says nothing of its way: counted
-    // as undelayed, it would hide a full link.
+    // The delay of a heartbeat without a send time is unknown. Counting it as
+    // zero would hide a full link.
     if (delay)
         tables_.lateness.note(*delay, now);
     const auto own = tables_.version();
-    const duration way = std::max(
-        way_allowance(now), mesh::hop_allowance + delay.value_or(duration(0)));
+    const duration transit =
+        std::max(transit_allowance(now),
+                 mesh::hop_allowance + delay.value_or(duration(0)));
     tables_.targets_announced =
         std::max(tables_.targets_announced, from.targets_changed);
     if (from.configuration > own)
         tables_.note_configuration_announced();
     if (from.configuration <= own && from.configuration_age)
-        tables_.confirm_configuration(now - *from.configuration_age - way);
+        tables_.confirm_configuration(now - *from.configuration_age - transit);
     if (from.targets_age) {
-        const instant at = now - *from.targets_age - way;
+        const instant at = now - *from.targets_age - transit;
         if (from.targets_changed <= tables_.targets.as_of())
             tables_.confirm_targets(at);
         else
             tables_.note_targets_confirmed(at);
     }
-    // What the sender knows was taken before.
+    // The sender's evacuation state was applied before.
     if (from.evacuations && from.evacuations_age)
-        tables_.confirm_evacuations(now - *from.evacuations_age - way);
+        tables_.confirm_evacuations(now - *from.evacuations_age - transit);
 }
 
-/// How long a beacon may have been on its way whatever its sender says: it lies
-/// in the socket while this node is busy with something long or doesn't run at
-/// all.
-duration mesh_node::way_allowance(instant now) const
+/// How long a heartbeat may have been in transit regardless of its send time:
+/// it waits in the socket while this node's event loop is blocked or the
+/// process is not running.
+duration mesh_node::transit_allowance(instant now) const
 {
     return std::max({mesh::hop_allowance, tables_.lag.since_tick(now),
                      tables_.lag.at(now)});
 }
 
-void mesh_node::note_tick(instant now)
+void mesh_node::record_tick(instant now)
 {
     const duration late = tables_.lag.note_tick(now);
     lag_gauge_.set(std::chrono::duration_cast<milliseconds>(late).count());
-    if (late > lag_reported)
+    if (late > min_logged_lag)
         log_event(event::loop_lagged, {{"ms", milliseconds_text(late)}});
 }
 
--- a/libs/edge/update_exchange.cpp
+++ b/libs/edge/update_exchange.cpp
@@ -22,29 +22,30 @@
     "fennelladder_mesh_fetched_bytes_total";
 constexpr const char* transfers_metric = "fennelladder_mesh_transfers_total";
 
-/// A node within the fleet is reached in milliseconds. One that isn't must not
-/// hold up the next: what is to be fetched has to be in force within seconds.
-constexpr duration connect_limit = milliseconds(300);
+/// Nodes of the fleet accept connections within milliseconds. One that doesn't
+/// must not delay the next attempt: updates have to be in force within seconds.
+constexpr duration connect_timeout = milliseconds(300);
 
-/// A configuration is a megabyte at most, a list of 600 targets far less; also
-/// the limit of an unpacked one.
-constexpr std::size_t largest_answer = 4'194'304;
+/// A configuration has at most a megabyte, a list of 600 targets far less. Also
+/// limits the uncompressed size.
+constexpr std::size_t max_reply_bytes = 4'194'304;
 
-/// A question holds two numbers and an address.
-constexpr std::size_t largest_question = 1'024;
+/// A request contains two numbers and an address.
+constexpr std::size_t max_request_bytes = 1'024;
 
-/// Sent at a time, so that transfers take turns and callers' bytes come in
-/// between: 13 ms of a link of 10 Mbit/s.
-constexpr std::size_t piece_bytes = 16'384;
+/// Bytes written at a time, so that transfers take turns and callers' traffic
+/// is sent in between: 13 ms on a link of 10 Mbit/s.
+constexpr std::size_t chunk_bytes = 16'384;
 
-/// Addresses remembered from busy nodes, of as many as may name some.
-constexpr std::size_t most_remembered = 64;
+/// Addresses remembered in total, whatever the number of busy nodes that
+/// suggest some.
+constexpr std::size_t max_suggested_sources = 64;
 
-/// A node that was named but has nothing newer after as many questions is
-/// forgotten. It may have been reading what it got at the first ones.
-constexpr int most_vain_questions = 3;
+/// A suggested source that has nothing newer after this many requests is
+/// forgotten. During the first ones it may still be parsing what it received.
+constexpr int max_fruitless_requests = 3;
 
-constexpr duration accept_pause = milliseconds(50);
+constexpr duration accept_retry_delay = milliseconds(50);
 
 std::string name_of(sync_part part)
 {
@@ -58,8 +59,8 @@
 
 } // namespace
 
-update_exchange::fetching::fetching(telemetry::metrics& metrics,
-                                    sync_part wanted)
+update_exchange::fetch_state::fetch_state(telemetry::metrics& metrics,
+                                          sync_part wanted)
     : part(wanted), name(name_of(wanted)),
       done(metrics.counter_of(fetches_metric,
                               {{"what", name}, {"result", "done"}})),
@@ -71,7 +72,7 @@
                                 {{"what", name}, {"result", "failed"}}))
 {}
 
-telemetry::counter& update_exchange::fetching::count_of(fetch_end end) const
+telemetry::counter& update_exchange::fetch_state::count_of(fetch_end end) const
 {
     switch (end) {
     case fetch_end::done:
@@ -110,9 +111,9 @@
 void update_exchange::on_heartbeat(const mesh::beacon& from)
 {
     if (is_ahead(from, sync_part::targets))
-        begin(targets_);
+        start_fetch(targets_);
     if (is_ahead(from, sync_part::configuration))
-        begin(configuration_);
+        start_fetch(configuration_);
 }
 
 bool update_exchange::is_ahead(const mesh::beacon& from, sync_part part) const
@@ -124,59 +125,60 @@
 
 // Fetching.
 
-void update_exchange::begin(fetching& what)
+void update_exchange::start_fetch(fetch_state& fetch)
 {
-    if (what.under_way)
+    if (fetch.under_way)
         return;
-    what.under_way = true;
-    spawn(tables_.io, fetch_all(what));
+    fetch.under_way = true;
+    spawn(tables_.io, fetch_all(fetch));
 }
 
-awaitable<void> update_exchange::fetch_all(fetching& what)
+awaitable<void> update_exchange::fetch_all(fetch_state& fetch)
 {
     asio::steady_timer timer(tables_.io);
-    co_await sleep_on(timer, head_start(what));
+    co_await sleep_on(timer, fetch_delay(fetch));
     for (;;) {
-        const auto sources = sources_of(what.part);
+        const auto sources = sources_of(fetch.part);
         if (sources.empty())
             break;
-        const auto awake = what.rests.awake(sources, tables_.now());
+        const auto available = fetch.rests.awake(sources, tables_.now());
         const std::string address = mesh::choose_source(
-            awake, tables_.settings.data_center, tables_.random);
+            available, tables_.settings.data_center, tables_.random);
         fetch_end end = fetch_end::busy;
         if (!address.empty())
-            end = co_await fetch_from(what, address);
+            end = co_await fetch_from(fetch, address);
         const duration wait =
             mesh::ask_pause(tables_.peers.size(), sources.size());
         if (end != fetch_end::done)
             co_await sleep_on(timer, jitter(tables_.random, wait));
     }
-    what.under_way = false;
+    fetch.under_way = false;
 }
 
-/// Before the first question. Targets are few bytes and urgent.
-duration update_exchange::head_start(const fetching& what)
+/// Delay before the first request. Targets are small and urgent, so they are
+/// fetched without delay.
+duration update_exchange::fetch_delay(const fetch_state& fetch)
 {
-    if (what.part == sync_part::targets)
+    if (fetch.part == sync_part::targets)
         return duration(0);
-    const auto living = tables_.peers.alive(tables_.now());
+    const auto alive = tables_.peers.alive(tables_.now());
     double largest = tables_.capacity();
-    for (const mesh::node_row* it : living)
+    for (const mesh::node_row* it : alive)
         largest = std::max(largest, it->last.capacity);
     const bool large = mesh::is_large(tables_.capacity(), largest);
     const auto others =
-        std::ranges::count_if(living, [&](const mesh::node_row* it) {
+        std::ranges::count_if(alive, [&](const mesh::node_row* it) {
             return mesh::is_large(it->last.capacity, largest);
         });
-    const double nodes = static_cast<double>(living.size() + 1);
+    const double nodes = static_cast<double>(alive.size() + 1);
     const double large_part =
         (static_cast<double>(others) + (large ? 1 : 0)) / nodes;
-    return mesh::head_start(large, large_part, living.size() + 1,
-                            sources_of(what.part).size(), tables_.random);
+    return mesh::head_start(large, large_part, alive.size() + 1,
+                            sources_of(fetch.part).size(), tables_.random);
 }
 
-/// The living nodes that have more of `part`, by their beacons and as other
-/// nodes named them.
+/// The live nodes that have a newer version of `part`, according to their
+/// heartbeats or suggested by busy nodes.
 std::vector<mesh::news_source> update_exchange::sources_of(sync_part part)
 {
     std::vector<mesh::news_source> out;
@@ -184,91 +186,92 @@
         if (is_ahead(it->last, part))
             out.push_back(source_of(it->last));
     if (part == sync_part::configuration)
-        add_named(out);
+        add_suggested_sources(out);
     return out;
 }
 
-void update_exchange::add_named(std::vector<mesh::news_source>& to)
+void update_exchange::add_suggested_sources(std::vector<mesh::news_source>& to)
 {
-    std::erase_if(
-        named_, [&](const auto& it) { return it.second <= tables_.version(); });
-    if (named_.empty())
+    std::erase_if(suggested_, [&](const auto& it) {
+        return it.second <= tables_.version();
+    });
+    if (suggested_.empty())
         return;
-    std::map<std::string, mesh::news_source> heard;
+    std::map<std::string, mesh::news_source> known_sources;
     for (const auto& [host, row] : tables_.peers.rows())
-        heard[row.last.peer_address] = source_of(row.last);
-    for (const auto& it : named_) {
+        known_sources[row.last.peer_address] = source_of(row.last);
+    for (const auto& it : suggested_) {
         const std::string& address = it.first;
         const bool listed = std::ranges::any_of(
             to, [&](const auto& source) { return source.address == address; });
         if (listed)
             continue;
-        const auto known = heard.find(address);
-        to.push_back(known == heard.end()
+        const auto known = known_sources.find(address);
+        to.push_back(known == known_sources.end()
                          ? mesh::news_source{address, data_center_id(), 0}
                          : known->second);
     }
 }
 
-awaitable<fetch_end> update_exchange::fetch_from(fetching& what,
+awaitable<fetch_end> update_exchange::fetch_from(fetch_state& fetch,
                                                  std::string address)
 {
-    const instant begun = tables_.now();
+    const instant started = tables_.now();
     peer_stream stream(tables_.io);
     std::string bytes;
-    const bool read = co_await exchange(stream, what, address, bytes);
-    // The sender's slot is free before this node reads what it got.
+    const bool read = co_await query(stream, fetch, address, bytes);
+    // Closes the connection before parsing, to free the sender's slot.
     stream.close();
     fetched_bytes_.add(stream.bytes_read());
-    const duration took = tables_.now() - begun;
+    const duration elapsed = tables_.now() - started;
     const fetch_end end =
-        read ? take_answer(what, bytes, address) : fetch_end::failed;
-    note_end(what, address, end);
+        read ? handle_reply(fetch, bytes, address) : fetch_end::failed;
+    record_result(fetch, address, end);
     if (end == fetch_end::busy || end == fetch_end::not_newer)
         co_return end;
     log_event(
         end == fetch_end::done ? event::news_fetched : event::news_fetch_failed,
-        {{"what", what.name},
+        {{"what", fetch.name},
          {"from", address},
          {"bytes", std::to_string(stream.bytes_read())},
-         {"ms", milliseconds_text(took)},
+         {"ms", milliseconds_text(elapsed)},
          {"targets_as_of", std::to_string(tables_.targets.as_of().value())},
          {"generation", std::to_string(tables_.version().value())}});
     co_return end;
 }
 
-awaitable<bool> update_exchange::exchange(peer_stream& stream,
-                                          const fetching& what,
-                                          const std::string& address,
-                                          std::string& answer)
+awaitable<bool> update_exchange::query(peer_stream& stream,
+                                       const fetch_state& fetch,
+                                       const std::string& address,
+                                       std::string& answer)
 {
     const auto endpoint = parse_endpoint(address);
     if (!endpoint)
         co_return false;
-    const bool connected = co_await stream.connect(*endpoint, connect_limit);
+    const bool connected = co_await stream.connect(*endpoint, connect_timeout);
     if (!connected)
         co_return false;
     const mesh::sync_ask ask{tables_.version(), tables_.targets.as_of(),
-                             what.part, address_};
-    const std::string question = framed(mesh::encode(ask));
-    const bool sent = co_await stream.write(question);
+                             fetch.part, address_};
+    const std::string request = framed(mesh::encode(ask));
+    const bool sent = co_await stream.write(request);
     if (!sent)
         co_return false;
-    const bool read = co_await stream.read(answer, largest_answer);
+    const bool read = co_await stream.read(answer, max_reply_bytes);
     co_return read;
 }
 
-void update_exchange::note_end(fetching& what, const std::string& address,
-                               fetch_end end)
+void update_exchange::record_result(fetch_state& fetch,
+                                    const std::string& address, fetch_end end)
 {
-    what.count_of(end).add();
-    const int in_vain =
-        what.rests.note(address, end, tables_.now(), tables_.random);
-    const bool of_no_use =
+    fetch.count_of(end).add();
+    const int fruitless =
+        fetch.rests.note(address, end, tables_.now(), tables_.random);
+    const bool is_useless =
         end == fetch_end::failed ||
-        (end == fetch_end::not_newer && in_vain >= most_vain_questions);
-    if (of_no_use)
-        named_.erase(address);
+        (end == fetch_end::not_newer && fruitless >= max_fruitless_requests);
+    if (is_useless)
+        suggested_.erase(address);
 }
 
 void update_exchange::note_unreadable(const std::string& source,
@@ -278,9 +281,9 @@
                             catalog::revision(), cause);
 }
 
-fetch_end update_exchange::take_answer(const fetching& what,
-                                       const std::string& bytes,
-                                       const std::string& source)
+fetch_end update_exchange::handle_reply(const fetch_state& fetch,
+                                        const std::string& bytes,
+                                        const std::string& source)
 {
     auto reply = mesh::decode_sync_reply(bytes);
     if (!reply) {
@@ -289,16 +292,16 @@
     }
     if (reply->left_out > 0)
         note_unreadable(source, {error_code::corrupt, "parts left out"});
-    if (what.part == sync_part::targets)
-        return take_targets(*reply);
+    if (fetch.part == sync_part::targets)
+        return apply_targets(*reply);
     if (reply->busy) {
-        take_named(*reply);
+        record_suggested_sources(*reply);
         return fetch_end::busy;
     }
     return apply_configuration(std::move(*reply), source);
 }
 
-fetch_end update_exchange::take_targets(const mesh::sync_reply& reply)
+fetch_end update_exchange::apply_targets(const mesh::sync_reply& reply)
 {
     const catalog::revision known_before = tables_.targets.as_of();
     const std::uint64_t before = tables_.targets.changes_taken();
@@ -311,8 +314,8 @@
                                : tables_.targets.changes_taken() != before;
     if (changed)
         tables_.update_target_registry();
-    // Those that heard it from the platform tell everybody; if those that
-    // heard it from them did so too, each change would cost a message for
+    // Doesn't broadcast: nodes that got the change from the platform tell all
+    // others. If the receivers did so too, each change would cost a message for
     // every pair of nodes.
     return tables_.targets.as_of() > known_before ? fetch_end::done
                                                   : fetch_end::not_newer;
@@ -324,7 +327,7 @@
     std::string text = std::move(reply.configuration);
     if (!reply.packed_configuration.empty()) {
         auto unpacked =
-            mesh::unpack(reply.packed_configuration, largest_answer);
+            mesh::unpack(reply.packed_configuration, max_reply_bytes);
         if (!unpacked) {
             note_unreadable(source, unpacked.error());
             return fetch_end::failed;
@@ -338,23 +341,23 @@
         note_unreadable(source, parts.error());
         return fetch_end::failed;
     }
-    const bool taken =
+    const bool applied =
         tables_.apply_configuration(std::move(*parts), std::move(text), source);
-    if (!taken)
+    if (!applied)
         return fetch_end::not_newer;
     if (!reply.packed_configuration.empty())
-        keep_wire_form(std::move(reply.packed_configuration));
+        cache_encoded(std::move(reply.packed_configuration));
     return fetch_end::done;
 }
 
-void update_exchange::take_named(const mesh::sync_reply& reply)
+void update_exchange::record_suggested_sources(const mesh::sync_reply& reply)
 {
     std::size_t left = mesh::most_named;
     for (const std::string& it : reply.served) {
-        if (left-- == 0 || named_.size() >= most_remembered)
+        if (left-- == 0 || suggested_.size() >= max_suggested_sources)
             return;
         if (it != address_ && parse_endpoint(it))
-            named_[it] = reply.served_configuration;
+            suggested_[it] = reply.served_configuration;
     }
 }
 
@@ -368,7 +371,7 @@
         net_error ec;
         co_await acceptor_.async_accept(*socket, into(ec));
         if (ec) {
-            co_await sleep_on(timer, accept_pause);
+            co_await sleep_on(timer, accept_retry_delay);
             continue;
         }
         spawn(tables_.io, serve(socket));
@@ -379,7 +382,7 @@
 {
     peer_stream stream(std::move(socket));
     std::string bytes;
-    const bool read = co_await stream.read(bytes, largest_question);
+    const bool read = co_await stream.read(bytes, max_request_bytes);
     if (!read)
         co_return;
     const auto ask = mesh::decode_sync_ask(bytes);
@@ -393,14 +396,14 @@
 awaitable<void> update_exchange::answer(peer_stream& stream,
                                         const mesh::sync_ask& ask)
 {
-    mesh::sync_reply small;
+    mesh::sync_reply reply;
     if (ask.part != sync_part::configuration)
-        small = targets_for(ask);
+        reply = targets_for(ask);
     const bool newer = tables_.version() > ask.configuration;
     if (ask.part != sync_part::targets && newer) {
         const auto slot = slots_.begin(tables_.now());
         if (slot) {
-            const auto bytes = wire_form_for(ask);
+            const auto bytes = encoded_reply_for(ask);
             const bool sent =
                 co_await send_configuration(stream, bytes, ask, *slot);
             slots_.end(*slot);
@@ -409,9 +412,9 @@
         }
         sent_busy_.add();
         if (ask.part == sync_part::configuration)
-            small = busy_reply();
+            reply = busy_reply();
     }
-    const std::string bytes = framed(mesh::encode(small));
+    const std::string bytes = framed(mesh::encode(reply));
     const bool sent = co_await stream.write(bytes);
     if (!sent)
         send_failed_.add();
@@ -427,7 +430,7 @@
     const bool sent = co_await send_paced(stream, *bytes, slot);
     if (!sent)
         co_return false;
-    // What the system took may still wait before the link.
+    // Written bytes may still be in the kernel's send buffer.
     const bool arrived = co_await stream.closed_by_peer();
     if (arrived && parse_endpoint(ask.peer_address))
         slots_.note_served(version, ask.peer_address);
@@ -441,15 +444,15 @@
     asio::steady_timer timer(tables_.io);
     bool sent = true;
     while (sent && !bytes.empty()) {
-        const std::string_view piece = bytes.substr(0, piece_bytes);
+        const std::string_view chunk = bytes.substr(0, chunk_bytes);
         const duration wait =
-            slots_.wait_before(slot, piece.size(), tables_.now());
+            slots_.wait_before(slot, chunk.size(), tables_.now());
         if (wait > duration(0)) {
             co_await sleep_on(timer, wait);
             continue;
         }
-        bytes.remove_prefix(piece.size());
-        sent = co_await stream.write(piece);
+        bytes.remove_prefix(chunk.size());
+        sent = co_await stream.write(chunk);
     }
     co_return sent;
 }
@@ -480,34 +483,34 @@
     return out;
 }
 
-/// The bytes that bring the asker the configuration; null if they can't be
-/// made.
+/// The encoded reply that contains the configuration; null if it can't be
+/// encoded.
 std::shared_ptr<const std::string>
-update_exchange::wire_form_for(const mesh::sync_ask& ask)
+update_exchange::encoded_reply_for(const mesh::sync_ask& ask)
 {
     if (ask.part == sync_part::both) {
         mesh::sync_reply plain = targets_for(ask);
         plain.configuration = tables_.config_text;
         return std::make_shared<const std::string>(framed(mesh::encode(plain)));
     }
-    if (wire_form_.bytes != nullptr && wire_form_.version == tables_.version())
-        return wire_form_.bytes;
+    if (encoded_.bytes != nullptr && encoded_.version == tables_.version())
+        return encoded_.bytes;
     auto packed = mesh::pack(tables_.config_text);
     if (!packed) {
         log_event(event::configuration_unreadable,
                   {{"source", "own"}, {"reason", packed.error().message}});
         return nullptr;
     }
-    keep_wire_form(std::move(*packed));
-    return wire_form_.bytes;
+    cache_encoded(std::move(*packed));
+    return encoded_.bytes;
 }
 
-void update_exchange::keep_wire_form(std::string packed)
+void update_exchange::cache_encoded(std::string packed)
 {
     mesh::sync_reply reply;
     reply.packed_configuration = std::move(packed);
-    wire_form_ = {tables_.version(), std::make_shared<const std::string>(
-                                         framed(mesh::encode(reply)))};
+    encoded_ = {tables_.version(), std::make_shared<const std::string>(
+                                       framed(mesh::encode(reply)))};
 }
 
 } // namespace fennelladder::edge
--- a/libs/edge/update_exchange_test.cpp
+++ b/libs/edge/update_exchange_test.cpp
@@ -1,5 +1,5 @@
-// Configurations and targets between nodes on the loopback, with peers that
-// are slow, silent, or send what can't be read.
+// Exchange of configurations and targets between nodes on the loopback
+// interface, with peers that are slow, silent, or send invalid data.
 
 #include "fennelladder/edge/update_exchange.hpp"
 #include "fennelladder/mesh/packed_text.hpp"
@@ -19,7 +19,7 @@
 
 using mesh::sync_part;
 
-constexpr double small_link = 10e6;
+constexpr double slow_link_bits_per_second = 10e6;
 
 std::string free_address()
 {
@@ -29,7 +29,8 @@
     return "127.0.0.1:" + std::to_string(any.local_endpoint().port());
 }
 
-/// A configuration as the platform spells it; its paths don't pack well.
+/// A configuration in the format of the platform, with paths that compress
+/// badly.
 std::string configuration_text(std::uint64_t version, std::size_t routes)
 {
     random_source random(version);
@@ -60,11 +61,13 @@
 {
     node(asio::io_context& io, const system_clock& time, int i)
         : address(free_address()),
-          tables(io, time, settings_of("n" + std::to_string(i), small_link),
-                 static_cast<std::uint64_t>(i)),
-          news(tables, address)
+          tables(
+              io, time,
+              settings_of("n" + std::to_string(i), slow_link_bits_per_second),
+              static_cast<std::uint64_t>(i)),
+          exchange(tables, address)
     {
-        CHECK(news.start().has_value());
+        CHECK(exchange.start().has_value());
     }
 
     std::uint64_t version() const
@@ -72,17 +75,17 @@
         return tables.config ? tables.config->version().value() : 0;
     }
 
-    void take(const std::string& text)
+    void apply_configuration(const std::string& text)
     {
         auto parts = adapter::decode_configuration(nlohmann::json::parse(text));
         CHECK(parts.has_value());
         tables.apply_configuration(std::move(*parts), text, "test");
     }
 
-    void hear(const mesh::beacon& from)
+    void handle_heartbeat(const mesh::beacon& from)
     {
         tables.peers.hear(from, tables.now());
-        news.on_heartbeat(from);
+        exchange.on_heartbeat(from);
     }
 
     std::uint64_t count(const char* metric, const telemetry::labels& where)
@@ -103,10 +106,10 @@
 
     std::string address;
     node_tables tables;
-    update_exchange news;
+    update_exchange exchange;
 };
 
-/// Answers questions as the test says.
+/// A peer that answers requests with a script of the test.
 class scripted_peer
 {
 public:
@@ -163,7 +166,7 @@
     co_await sleep_on(timer, length);
 }
 
-/// The bytes in `pieces` pieces, one each `gap`.
+/// Sends the bytes in `pieces` pieces, one per `gap`.
 awaitable<void> trickle(tcp::socket& socket, std::string bytes, int pieces,
                         duration gap)
 {
@@ -214,9 +217,9 @@
         return *peers.back();
     }
 
-    /// A beacon of one that has this.
-    mesh::beacon beacon_of(const std::string& address, std::uint64_t version,
-                           std::uint64_t targets = 0)
+    /// A heartbeat of a node that has these versions.
+    mesh::beacon heartbeat_of(const std::string& address, std::uint64_t version,
+                              std::uint64_t targets = 0)
     {
         mesh::beacon out;
         out.host = host_id("host of " + address);
@@ -230,7 +233,8 @@
         return out;
     }
 
-    /// Runs until `done`; false if it isn't within `limit`.
+    /// Runs the event loop until `done` or `limit`. Returns the result of
+    /// `done`.
     bool run_until(const std::function<bool()>& done, duration limit)
     {
         const instant end = time.now() + limit;
@@ -254,40 +258,40 @@
 
 TEST_GROUP(update_exchange){};
 
-TEST(update_exchange, a_configuration_passes_from_node_to_node_as_it_is)
+TEST(update_exchange, a_configuration_is_passed_on_unchanged)
 {
     world all;
     node& first = all.add_node();
     node& second = all.add_node();
     node& third = all.add_node();
     const std::string text = configuration_text(7, 50);
-    first.take(text);
-    second.hear(all.beacon_of(first.address, 7));
+    first.apply_configuration(text);
+    second.handle_heartbeat(all.heartbeat_of(first.address, 7));
     CHECK(all.run_until([&] { return second.version() == 7; }, seconds(3)));
-    third.hear(all.beacon_of(second.address, 7));
+    third.handle_heartbeat(all.heartbeat_of(second.address, 7));
     CHECK(all.run_until([&] { return third.version() == 7; }, seconds(3)));
     CHECK(third.tables.config_text == text);
     CHECK(first.fetches("configuration", "done") == 0);
     CHECK(third.fetches("configuration", "done") == 1);
 }
 
-// Story: one small host had a new configuration, and all others fetched it
-// from there at the same time. None got it within its limit; all tried again.
-// Nobody had it for 2.5 s.
+// Only one small host had a new configuration, and all others fetched it from
+// there at the same time. None got it within its timeout, all tried again, and
+// no other node had it for 2.5 s.
 TEST(update_exchange, a_configuration_spreads_from_one_small_host)
 {
     constexpr std::size_t askers = 16;
     world all;
     node& source = all.add_node();
     const std::string text = configuration_text(7, 1'500);
-    source.take(text);
+    source.apply_configuration(text);
     for (std::size_t i = 0; i < askers; ++i)
-        all.add_node().hear(all.beacon_of(source.address, 7));
-    const auto served = [&] {
+        all.add_node().handle_heartbeat(all.heartbeat_of(source.address, 7));
+    const auto all_served = [&] {
         return std::ranges::all_of(
             all.nodes, [](const auto& it) { return it->version() == 7; });
     };
-    CHECK(all.run_until(served, seconds(8)));
+    CHECK(all.run_until(all_served, seconds(8)));
     std::uint64_t fetched = 0;
     std::uint64_t failed = 0;
     std::uint64_t busy = 0;
@@ -299,42 +303,42 @@
     UNSIGNED_LONGS_EQUAL(askers, fetched);
     UNSIGNED_LONGS_EQUAL(0, failed);
     CHECK(busy > 0);
-    // Those that were served served others.
+    // Nodes that were served have served others.
     CHECK(source.transfers("done") < askers);
 }
 
-// Story: a target says that it leaves while a large configuration is on its
-// way to a small host. The news of both came in one message, three quarters of
-// a second after the target had to be left alone.
-TEST(update_exchange, targets_arrive_while_a_configuration_is_under_way)
+// A target announces that it leaves while a large configuration is being sent
+// to a small host. Both updates arrived in one message, 0.75 s after the last
+// time at which the target might be sent requests.
+TEST(update_exchange, targets_arrive_while_a_configuration_is_transferred)
 {
     world all;
     const std::string text = configuration_text(7, 200);
-    bool begun = false;
+    bool started = false;
     scripted_peer& peer = all.add_peer(
         [&](tcp::socket& socket, const mesh::sync_ask& ask) -> awaitable<void> {
             if (ask.part == sync_part::targets) {
                 co_await put(socket, targets_reply(91));
                 co_return;
             }
-            begun = true;
+            started = true;
             co_await trickle(socket, packed_reply(text), 100, milliseconds(60));
         });
     node& asker = all.add_node();
-    asker.hear(all.beacon_of(peer.address(), 7));
-    CHECK(all.run_until([&] { return begun; }, seconds(3)));
-    asker.hear(all.beacon_of(peer.address(), 7, 91));
-    const auto known = [&] {
+    asker.handle_heartbeat(all.heartbeat_of(peer.address(), 7));
+    CHECK(all.run_until([&] { return started; }, seconds(3)));
+    asker.handle_heartbeat(all.heartbeat_of(peer.address(), 7, 91));
+    const auto has_targets = [&] {
         return asker.tables.targets.as_of() == catalog::revision(91);
     };
-    CHECK(all.run_until(known, seconds(2)));
+    CHECK(all.run_until(has_targets, seconds(2)));
     UNSIGNED_LONGS_EQUAL(0, asker.version());
     UNSIGNED_LONGS_EQUAL(1, asker.fetches("targets", "done"));
 }
 
-// Story: transfers over a small link were ended after 1.5 s although bytes
-// came all the time, and began anew.
-TEST(update_exchange, a_slow_transfer_that_moves_is_not_ended)
+// Transfers over a small link were aborted after 1.5 s although bytes kept
+// arriving, and were then restarted.
+TEST(update_exchange, a_slow_transfer_that_progresses_is_not_aborted)
 {
     world all;
     const std::string text = configuration_text(7, 200);
@@ -345,13 +349,13 @@
             co_await trickle(socket, packed_reply(text), 16, milliseconds(120));
         });
     node& asker = all.add_node();
-    asker.hear(all.beacon_of(peer.address(), 7));
+    asker.handle_heartbeat(all.heartbeat_of(peer.address(), 7));
     CHECK(all.run_until([&] { return asker.version() == 7; }, seconds(8)));
     CHECK_EQUAL(1, asked);
 }
 
-// Story: a peer is cut off in the middle of a transfer: no end, no error.
-TEST(update_exchange, a_silent_transfer_is_fetched_elsewhere)
+// A peer is cut off during a transfer: neither an end nor an error arrives.
+TEST(update_exchange, a_stalled_transfer_is_retried_at_another_node)
 {
     world all;
     scripted_peer& silent = all.add_peer(
@@ -361,38 +365,38 @@
             co_await pause(socket, seconds(30));
         });
     node& good = all.add_node();
-    good.take(configuration_text(7, 50));
+    good.apply_configuration(configuration_text(7, 50));
     node& asker = all.add_node();
-    asker.hear(all.beacon_of(silent.address(), 7));
+    asker.handle_heartbeat(all.heartbeat_of(silent.address(), 7));
     all.run_until([] { return false; }, milliseconds(200));
-    asker.hear(all.beacon_of(good.address, 7));
+    asker.handle_heartbeat(all.heartbeat_of(good.address, 7));
     CHECK(all.run_until([&] { return asker.version() == 7; }, seconds(3)));
     UNSIGNED_LONGS_EQUAL(1, asker.fetches("configuration", "failed"));
 }
 
-TEST(update_exchange, a_busy_peer_names_one_that_is_not)
+TEST(update_exchange, a_busy_peer_suggests_another_source)
 {
     world all;
-    node& served = all.add_node();
-    served.take(configuration_text(7, 50));
+    node& server = all.add_node();
+    server.apply_configuration(configuration_text(7, 50));
     scripted_peer& busy = all.add_peer(
         [&](tcp::socket& socket, const mesh::sync_ask&) -> awaitable<void> {
             mesh::sync_reply out;
             out.busy = true;
-            out.served = {"nowhere", served.address};
+            out.served = {"nowhere", server.address};
             out.served_configuration = catalog::configuration_version(7);
             co_await put(socket, framed(mesh::encode(out)));
         });
     node& asker = all.add_node();
-    asker.hear(all.beacon_of(busy.address(), 7));
+    asker.handle_heartbeat(all.heartbeat_of(busy.address(), 7));
     CHECK(all.run_until([&] { return asker.version() == 7; }, seconds(3)));
     UNSIGNED_LONGS_EQUAL(0, asker.fetches("configuration", "failed"));
     CHECK(asker.fetches("configuration", "busy") >= 1);
 }
 
-// Bytes from a peer are news or a failure, whatever they are, and the next
-// peer is asked.
-TEST(update_exchange, unreadable_answers_end_nothing)
+// Whatever bytes a peer sends, they count as an update or as a failed fetch,
+// and the next peer is asked.
+TEST(update_exchange, unreadable_replies_do_not_stop_fetching)
 {
     mesh::sync_reply not_packed;
     not_packed.packed_configuration = "not packed";
@@ -417,55 +421,54 @@
                 co_await put(socket, bytes);
             });
         node& good = all.add_node();
-        good.take(configuration_text(7, 5));
+        good.apply_configuration(configuration_text(7, 5));
         node& asker = all.add_node();
-        asker.hear(all.beacon_of(bad.address(), 7));
+        asker.handle_heartbeat(all.heartbeat_of(bad.address(), 7));
         const auto tried = [&] {
             return asker.fetches("configuration", "failed") == 1;
         };
         CHECK(all.run_until(tried, seconds(3)));
-        asker.hear(all.beacon_of(good.address, 7));
+        asker.handle_heartbeat(all.heartbeat_of(good.address, 7));
         CHECK(all.run_until([&] { return asker.version() == 7; }, seconds(3)));
     }
 }
 
-TEST(update_exchange, unreadable_questions_end_nothing)
+TEST(update_exchange, unreadable_requests_do_not_stop_serving)
 {
     world all;
-    node& served = all.add_node();
-    served.take(configuration_text(7, 50));
+    node& server = all.add_node();
+    server.apply_configuration(configuration_text(7, 50));
     std::vector<std::unique_ptr<tcp::socket>> open;
     for (const std::string& bytes :
          {std::string(), std::string("\xff\xff\xff\xff", 4), framed("?"),
           framed(std::string(2'000, 'x')), std::string("\0\0", 2)}) {
         open.push_back(std::make_unique<tcp::socket>(all.io));
-        open.back()->connect(*parse_endpoint(served.address));
+        open.back()->connect(*parse_endpoint(server.address));
         net_error ec;
         open.back()->send(asio::buffer(bytes), 0, ec);
     }
     node& asker = all.add_node();
-    asker.hear(all.beacon_of(served.address, 7));
+    asker.handle_heartbeat(all.heartbeat_of(server.address, 7));
     CHECK(all.run_until([&] { return asker.version() == 7; }, seconds(3)));
 }
 
-// Story: two nodes of an earlier release fetched plain text from a small host.
-// The one that came second got no byte while the first was served, and gave
-// up, again and again.
-TEST(update_exchange, two_large_transfers_at_once_are_both_done)
+// Two nodes of an earlier release fetched plain text from a small host. The
+// second one got no bytes while the first was served, and timed out repeatedly.
+TEST(update_exchange, two_large_concurrent_transfers_both_complete)
 {
     world all;
-    node& served = all.add_node();
-    served.take(configuration_text(7, 5'500));
+    node& server = all.add_node();
+    server.apply_configuration(configuration_text(7, 5'500));
     std::size_t done = 0;
     std::size_t ended = 0;
     const auto ask = [&]() -> awaitable<void> {
         peer_stream stream(all.io);
         std::string answer;
-        const auto to = *parse_endpoint(served.address);
+        const auto to = *parse_endpoint(server.address);
         const bool connected = co_await stream.connect(to, seconds(1));
         CHECK(connected);
-        const std::string question = framed(mesh::encode(mesh::sync_ask{}));
-        const bool sent = co_await stream.write(question);
+        const std::string request = framed(mesh::encode(mesh::sync_ask{}));
+        const bool sent = co_await stream.write(request);
         CHECK(sent);
         const bool read = co_await stream.read(answer, 4'000'000);
         done += read ? 1 : 0;
@@ -477,21 +480,22 @@
     UNSIGNED_LONGS_EQUAL(2, done);
 }
 
-// A node of an earlier release asks for both at once and reads plain text.
-TEST(update_exchange, an_earlier_release_gets_what_it_can_read)
+// A node of an earlier release requests both parts at once and expects plain
+// text.
+TEST(update_exchange, serves_plain_text_to_an_earlier_release)
 {
     world all;
-    node& served = all.add_node();
+    node& server = all.add_node();
     const std::string text = configuration_text(7, 50);
-    served.take(text);
+    server.apply_configuration(text);
     std::string answer;
     const auto ask = [&]() -> awaitable<void> {
         peer_stream stream(all.io);
-        const auto to = *parse_endpoint(served.address);
+        const auto to = *parse_endpoint(server.address);
         const bool connected = co_await stream.connect(to, seconds(1));
         CHECK(connected);
-        const std::string question = framed(mesh::encode(mesh::sync_ask{}));
-        const bool sent = co_await stream.write(question);
+        const std::string request = framed(mesh::encode(mesh::sync_ask{}));
+        const bool sent = co_await stream.write(request);
         CHECK(sent);
         const bool read = co_await stream.read(answer, 1'000'000);
         CHECK(read);
@@ -504,7 +508,7 @@
     CHECK(reply->packed_configuration.empty());
 }
 
-TEST(update_exchange, an_earlier_release_brings_plain_text)
+TEST(update_exchange, accepts_plain_text_from_an_earlier_release)
 {
     world all;
     const std::string text = configuration_text(7, 50);
@@ -515,10 +519,10 @@
             co_await put(socket, framed(mesh::encode(out)));
         });
     node& asker = all.add_node();
-    asker.hear(all.beacon_of(earlier.address(), 7));
+    asker.handle_heartbeat(all.heartbeat_of(earlier.address(), 7));
     CHECK(all.run_until([&] { return asker.version() == 7; }, seconds(3)));
     node& next = all.add_node();
-    next.hear(all.beacon_of(asker.address, 7));
+    next.handle_heartbeat(all.heartbeat_of(asker.address, 7));
     CHECK(all.run_until([&] { return next.version() == 7; }, seconds(3)));
     CHECK(next.tables.config_text == text);
 }
