--- a/include/fennelladder/edge/platform_client.hpp
+++ b/include/fennelladder/edge/platform_client.hpp
@@ -1,17 +1,17 @@
-// Calls the platform's store.
+// HTTP client for the platform's object store.
 //
 //     platform_reply got = co_await client.call(
 //         platform_call::list_targets, http::verb::get, target, "", limit);
 //     switch (got.outcome) ...
 //
-// Each call takes a kept connection or dials one. A connection on which a
-// reply was lost answers nothing more; it is closed. The client repeats
-// nothing: a call without a reply may have been carried out, or may be later.
+// Each call uses an idle connection or opens one. A connection on which a reply
+// was lost can't be used any more and is closed. The client doesn't retry: a
+// call without a reply may have been carried out, or may be carried out later.
 //
-// A call ends when its connection is silent for too long, not when the whole
-// takes long: a megabyte over a link of 10 Mbit/s takes a second, and what is
-// given up half way has to be sent again. When one connection fell silent the
-// kept ones are closed too, since what cut it has probably cut them.
+// A call times out if its connection is silent for too long, not if the whole
+// transfer takes long: a megabyte over a link of 10 Mbit/s takes a second, and
+// an aborted transfer has to be repeated. When a connection has timed out, the
+// idle ones are closed too, since the same failure has probably cut them.
 //
 // Not thread safe.
 
@@ -32,15 +32,15 @@
 {
     done,         ///< 2xx.
     missing,      ///< No such object.
-    conflict,     ///< The condition didn't hold; the body has the object.
-    history_gone, ///< That revision is too old to watch from.
-    turned_away,  ///< Nothing was done.
-    no_reply      ///< It may have been done, or may be done later.
+    conflict,     ///< The precondition failed; the body contains the object.
+    history_gone, ///< The revision is too old to watch from.
+    turned_away,  ///< Refused or never sent; not carried out.
+    no_reply      ///< May have been carried out, or may be later.
 };
 
 std::string_view to_string(call_outcome value);
 
-/// What a call is for; each is counted, and paid for, by itself.
+/// The operation of a call; the platform counts and charges each separately.
 enum class platform_call : std::uint8_t
 {
     list_configuration,
@@ -65,8 +65,8 @@
     std::string body;
     instant first_byte_at; ///< When the first bytes of the reply came.
 
-    /// The store took the call up: it neither turned this node away nor
-    /// stayed silent.
+    /// Whether the store processed the call: it neither refused it nor failed
+    /// to reply.
     bool reached() const
     {
         return outcome != call_outcome::no_reply &&
@@ -79,18 +79,18 @@
 public:
     explicit platform_client(node_tables& tables);
 
-    /// Waits until `limit` for the answer's head, and after that as long as
-    /// bytes come. Connecting has a limit of its own, and no call lasts longer
-    /// than ten seconds after `limit`.
+    /// Waits up to `limit` for the head of the response, and after that as long
+    /// as bytes arrive. Connecting has its own timeout, and no call takes
+    /// longer than ten seconds beyond `limit`.
     awaitable<platform_reply> call(platform_call name, http::verb method,
                                    std::string target, std::string body,
                                    duration limit);
 
-    /// Writes a line with the calls made since the last one, if there were
-    /// any: what the fleet asks of the platform can be summed from logs.
+    /// Logs the number of calls since the last log_calls(), if there were any,
+    /// so that the load of the fleet on the platform can be summed from logs.
     void log_calls();
 
-    /// Closes the connections kept: the next calls dial.
+    /// Closes the idle connections; the next calls open new ones.
     void close_idle() { idle_.clear(); }
 
 private:
@@ -100,8 +100,8 @@
 
         tcp::socket socket;
         beast::flat_buffer buf;
-        bool used = false;
-        bool silent = false; ///< Closed since nothing came.
+        bool established = false;
+        bool timed_out = false;
     };
 
     using connection_ptr = std::shared_ptr<connection>;
@@ -121,7 +121,7 @@
     node_tables& tables_;
     std::vector<connection_ptr> idle_;
     std::array<std::uint32_t, platform_call_count>
-        made_{}; ///< Since the last line.
+        call_counts_{}; ///< Since the last log_calls().
     std::uint32_t conflicts_ = 0;
     std::uint32_t unanswered_ = 0;
 };
--- a/include/fennelladder/edge/platform_feed.hpp
+++ b/include/fennelladder/edge/platform_feed.hpp
@@ -1,30 +1,32 @@
-// Keeps a node's configuration, list of targets and evacuations as new as the
-// platform's.
+// Keeps a node's configuration, target list and evacuations up to date with the
+// platform.
 //
 //     platform_feed feed(tables, client, mesh);
 //     feed.start();
 //
 // Two nodes of the fleet watch the platform and tell the others, which fetch
-// the change from them (see mesh_node). Who watches follows from the roster:
-// the first in an order all nodes agree on, those that reach the platform
-// before those that don't. So the calls don't grow with the fleet. A node
-// whose knowledge nobody has confirmed for too long asks by itself, whoever
-// ought to watch (see mesh/watch_duty.hpp, which decides).
+// the change from them (see mesh_node). The watchers are determined by the
+// membership view: the first nodes in an order that all nodes agree on, with
+// those that reach the platform before those that don't. So the number of calls
+// doesn't grow with the fleet. A node whose state hasn't been confirmed for too
+// long asks the platform itself, whoever should watch (mesh/watch_duty.hpp
+// decides).
 //
-// A watch may fall silent without an error. Each is therefore short, and a
-// full listing is made now and then. A watch that fails, because its history
-// is gone or its connection broke, is followed by a listing at once; where
-// watches fail soon after each listing, by pauses that grow to a second.
+// A watch may stop delivering without an error. Each watch is therefore short,
+// and a full listing is made from time to time. A watch that fails, because the
+// history is gone or the connection broke, is followed by a listing at once; if
+// watches fail soon after each listing, with a backoff of up to a second.
 //
-// Objects may have been written by something else. A target's entry that can't
-// be read counts as gone, and is back with the next one that can; of the
-// configuration the last good one stays in force. Either way what was read
-// counts as news of the platform, so that what one writer spoils doesn't make
-// all nodes ask.
+// Objects may have been written by other programs. A target whose entry can't
+// be parsed counts as removed until a valid entry replaces it; for the
+// configuration, the last valid one stays in force. In both cases the response
+// still counts as confirmation by the platform, so that one invalid object
+// doesn't make all nodes ask.
 //
-// A platform that doesn't answer is tried with pauses that grow, and for
-// targets before the configuration, which may take a small link seconds. An
-// answer to any call of the node, also to one for tokens, ends the pause.
+// If the platform doesn't answer, calls are retried with a growing backoff.
+// Targets are retried before the configuration, which may take a small link
+// seconds. Any answer to this node, also to a call for tokens, ends the
+// backoff.
 //
 // Not thread safe.
 
@@ -48,29 +50,30 @@
     platform_feed(node_tables& tables, platform_client& client,
                   mesh_node& mesh);
 
+    /// Starts the background tasks.
     void start();
 
 private:
-    /// One of the kinds of news that are followed.
-    struct news_kind
+    /// State of one feed: configuration, targets or evacuations.
+    struct feed_state
     {
-        news_kind(const char* name, node_tables& tables,
-                  mesh::news_limits limits);
+        feed_state(const char* name, node_tables& tables,
+                   mesh::news_limits limits);
 
-        const char* what; ///< Salt of the rank, and name in the log.
+        const char* what; ///< Name in the log, and salt of the rank.
         duration stale_after;
         mesh::watch_duty duty;
         mesh::watch_reason reason = mesh::watch_reason::none;
-        bool stale = false;  ///< As logged.
-        bool listed = false; ///< So that it can be watched from there.
+        bool stale = false;  ///< As last logged.
+        bool listed = false; ///< A watch can continue from the last listing.
         instant listed_at;
-        instant tried_at; ///< When the latest call began.
-        int failures = 0; ///< In a row.
-        /// Watches in a row that failed soon after a listing.
-        int lost_watches = 0;
-        instant next_try;
-        /// When the latest answer came, of what was known till then.
-        std::optional<duration> age_before;
+        instant last_attempt; ///< Start of the latest call.
+        int failures = 0;     ///< Consecutive ones.
+        /// Consecutive watches that failed soon after a listing.
+        int early_watch_failures = 0;
+        instant next_attempt;
+        /// Age of the state when the latest answer arrived.
+        std::optional<duration> previous_age;
         asio::steady_timer pause;
     };
 
@@ -80,10 +83,10 @@
         watch
     };
 
-    /// What the platform said, and when that began to come: a large answer
-    /// over a small link is as old as that.
+    /// A response of the platform and when its first bytes arrived. A large
+    /// response over a small link is at least that old.
     template <class Answer>
-    struct dated
+    struct timed
     {
         Answer value;
         instant first_byte_at;
@@ -92,23 +95,23 @@
     using call_function = awaitable<bool> (platform_feed::*)();
     using view_function = mesh::news_view (platform_feed::*)();
 
-    std::size_t rank(const news_kind& kind, bool reached) const;
-    awaitable<void> follow(news_kind& kind, view_function look,
+    std::size_t rank(const feed_state& feed, bool reached) const;
+    awaitable<void> follow(feed_state& feed, view_function make_view,
                            call_function list, call_function watch);
-    awaitable<bool> ask(news_kind& kind, call_function list,
-                        call_function watch);
-    bool note_watch_end(news_kind& kind, bool watched);
-    awaitable<void> rest(news_kind& kind);
-    awaitable<void> probe();
-    bool waits_for_targets(const news_kind& kind) const;
-    bool held_back(const news_kind& kind) const;
-    void hold_back(news_kind& kind, mesh::watch_reason reason);
-    void settle(news_kind& kind, duration elapsed);
-    void on_answer();
-    void note_reason(news_kind& kind, mesh::watch_reason reason,
-                     const mesh::news_view& view);
-
-    mesh::news_view view_of(const news_kind& kind) const;
+    awaitable<bool> list_or_watch(feed_state& feed, call_function list,
+                                  call_function watch);
+    bool record_watch_result(feed_state& feed, bool watched);
+    awaitable<void> wait_for_next_check(feed_state& feed);
+    awaitable<void> probe_platform();
+    bool must_wait_for_targets(const feed_state& feed) const;
+    bool is_backing_off(const feed_state& feed) const;
+    void back_off(feed_state& feed, mesh::watch_reason reason);
+    void record_success(feed_state& feed, duration elapsed);
+    void reset_backoff();
+    void record_reason(feed_state& feed, mesh::watch_reason reason,
+                       const mesh::news_view& view);
+
+    mesh::news_view view_of(const feed_state& feed) const;
     mesh::news_view view_configuration();
     mesh::news_view view_targets();
     mesh::news_view view_evacuations();
@@ -131,15 +134,16 @@
     awaitable<bool> watch_targets();
     awaitable<bool> watch_evacuations();
 
-    awaitable<void> pause_after_failure(int& failures);
+    awaitable<void> back_off_after_failure(int& failures);
 
     bool is_in_force(const adapter::stored_object& object) const;
     bool apply_configuration(const adapter::stored_object& object);
-    void note(const platform_reply& reply, platform_call name, call_kind kind);
+    void record_contact(const platform_reply& reply, platform_call name,
+                        call_kind kind);
 
-    /// Reads from the platform; no value if that failed, which is logged.
+    /// Reads from the platform. Returns no value on failure, which is logged.
     template <class Answer>
-    awaitable<std::optional<dated<Answer>>>
+    awaitable<std::optional<timed<Answer>>>
     fetch(platform_call name, call_kind kind, std::string target,
           result<Answer> (*decode)(const std::string&));
 
@@ -147,24 +151,25 @@
                          const adapter::stored_object& object,
                          const error& cause);
 
-    /// The target that an object describes; unset, and noted, if that can't
-    /// be read.
+    /// The target that an object describes. If it can't be parsed, records that
+    /// and returns no value.
     std::optional<catalog::target_change>
-    target_of(const adapter::stored_object& object);
+    parse_target(const adapter::stored_object& object);
     std::vector<catalog::target_change>
-    changes_of(const adapter::watch_answer& news);
-    std::optional<std::string> address_of(const adapter::stored_object& object);
-    void list_soon(news_kind& kind);
+    parse_changes(const adapter::watch_answer& answer);
+    std::optional<std::string>
+    parse_address(const adapter::stored_object& object);
+    void schedule_listing(feed_state& feed);
 
     node_tables& tables_;
     platform_client& client_;
     mesh_node& mesh_;
     mesh::news_limits limits_;
-    news_kind configuration_;
-    news_kind targets_;
-    news_kind evacuations_;
+    feed_state configuration_;
+    feed_state targets_;
+    feed_state evacuations_;
     catalog::revision configuration_as_of_;
-    bool cut_off_ = true; ///< Pauses are due to that.
+    bool is_cut_off_ = true; ///< Backing off since the platform is unreachable.
 };
 
 } // namespace fennelladder::edge
--- a/libs/edge/platform_client.cpp
+++ b/libs/edge/platform_client.cpp
@@ -8,22 +8,23 @@
 
 namespace {
 
-constexpr std::size_t most_idle = 4;
-constexpr duration silence_limit = seconds(2);
+constexpr std::size_t max_idle_connections = 4;
+constexpr duration silence_timeout = seconds(2);
 
-/// The platform is some milliseconds away. A first packet that is lost is sent
-/// again by the kernel after a second; dialling anew is sooner.
-constexpr duration connect_limit = milliseconds(600);
+/// The platform responds within milliseconds. The kernel retransmits a lost
+/// first packet only after a second, so a new attempt to connect is faster.
+constexpr duration connect_timeout = milliseconds(600);
 
-/// Without a byte of an answer that has begun. A lost packet is sent again
-/// after 0.2 s, and again after 0.4.
-constexpr duration progress_limit = milliseconds(700);
+/// Longest gap within a response. The kernel retransmits a lost packet after
+/// 0.2 s, and again after 0.4 s.
+constexpr duration progress_timeout = milliseconds(700);
 
-/// After a call's own limit: a megabyte at a tenth of the slowest link known.
-constexpr duration longest_transfer = seconds(10);
+/// Longest transfer beyond the timeout of the call: a megabyte at a tenth of
+/// the bandwidth of the slowest known link.
+constexpr duration max_transfer_time = seconds(10);
 
-/// A page of a listing is about a megabyte; anything far above isn't one.
-constexpr std::uint64_t largest_reply = 16'777'216;
+/// A page of a listing has about a megabyte; anything far larger is no page.
+constexpr std::uint64_t max_reply_bytes = 16'777'216;
 
 call_outcome outcome_of(unsigned status)
 {
@@ -40,13 +41,14 @@
     case 503:
         return call_outcome::turned_away;
     default:
-        // Other refusals of a call do nothing; other failures say nothing.
+        // Any other client error means that nothing was carried out. Any other
+        // server error leaves that open.
         return status < 500 ? call_outcome::turned_away
                             : call_outcome::no_reply;
     }
 }
 
-constexpr std::array<std::string_view, platform_call_count> names{
+constexpr std::array<std::string_view, platform_call_count> call_names{
     "list_configuration", "watch_configuration", "list_targets",
     "watch_targets",      "list_evacuations",    "watch_evacuations",
     "list_nodes",         "register_node",       "read_allotments",
@@ -75,7 +77,7 @@
 
 std::string_view to_string(platform_call value)
 {
-    return names[static_cast<std::size_t>(value)];
+    return call_names[static_cast<std::size_t>(value)];
 }
 
 platform_client::platform_client(node_tables& tables) : tables_(tables)
@@ -87,25 +89,26 @@
     if (!endpoint)
         co_return false;
     socket_deadline limit(socket_of(made));
-    limit.close_after(connect_limit);
+    limit.close_after(connect_timeout);
     net_error ec;
     co_await made->socket.async_connect(*endpoint, into(ec));
     limit.clear();
-    made->silent = limit.has_closed();
+    made->timed_out = limit.has_closed();
     if (ec || !made->socket.is_open())
         co_return false;
-    guard_silence(made->socket, silence_limit);
+    guard_silence(made->socket, silence_timeout);
     co_return true;
 }
 
-/// Until `until` the platform may be silent; after that bytes must come.
+/// The platform may be silent until `until`; after that, bytes must keep
+/// arriving.
 awaitable<bool> platform_client::read_reply(connection_ptr with,
                                             reply_parser& parser,
                                             socket_deadline& limit,
                                             instant until,
                                             instant& first_byte_at)
 {
-    const instant end = until + longest_transfer;
+    const instant end = until + max_transfer_time;
     net_error ec;
     while (!parser.is_done()) {
         co_await http::async_read_some(with->socket, with->buf, parser,
@@ -115,7 +118,7 @@
         const instant now = tables_.now();
         if (first_byte_at == instant())
             first_byte_at = now;
-        const instant next = now + progress_limit;
+        const instant next = now + progress_timeout;
         limit.close_after(std::min(std::max(until, next), end) - now);
     }
     co_return true;
@@ -127,7 +130,7 @@
                              duration limit)
 {
     platform_reply out;
-    if (!with->used) {
+    if (!with->established) {
         const bool connected = co_await connect(with);
         if (!connected) {
             out.outcome = call_outcome::turned_away;
@@ -147,21 +150,21 @@
     net_error ec;
     co_await http::async_write(with->socket, request, into(ec));
     if (ec) {
-        with->silent = silence.has_closed();
+        with->timed_out = silence.has_closed();
         co_return out;
     }
     reply_parser parser;
-    parser.body_limit(largest_reply);
-    const bool whole =
+    parser.body_limit(max_reply_bytes);
+    const bool complete =
         co_await read_reply(with, parser, silence, until, out.first_byte_at);
     silence.clear();
-    with->silent = silence.has_closed();
-    if (!whole)
+    with->timed_out = silence.has_closed();
+    if (!complete)
         co_return out;
     out.outcome = outcome_of(parser.get().result_int());
     out.body = std::move(parser.get().body());
-    if (parser.keep_alive() && idle_.size() < most_idle) {
-        with->used = true;
+    if (parser.keep_alive() && idle_.size() < max_idle_connections) {
+        with->established = true;
         idle_.push_back(with);
     }
     co_return out;
@@ -169,7 +172,7 @@
 
 void platform_client::count(platform_call name, const platform_reply& reply)
 {
-    ++made_[static_cast<std::size_t>(name)];
+    ++call_counts_[static_cast<std::size_t>(name)];
     conflicts_ += reply.outcome == call_outcome::conflict ? 1 : 0;
     unanswered_ += reply.reached() ? 0 : 1;
     tables_.metrics
@@ -181,26 +184,28 @@
 
 void platform_client::log_calls()
 {
-    const auto made = [this](platform_call name) {
-        return std::to_string(made_[static_cast<std::size_t>(name)]);
+    const auto count_text = [this](platform_call name) {
+        return std::to_string(call_counts_[static_cast<std::size_t>(name)]);
     };
-    if (std::ranges::all_of(made_, [](std::uint32_t n) { return n == 0; }))
+    if (std::ranges::all_of(call_counts_,
+                            [](std::uint32_t n) { return n == 0; }))
         return;
     telemetry::log_event(
         telemetry::event::platform_calls,
-        {{"list_configuration", made(platform_call::list_configuration)},
-         {"watch_configuration", made(platform_call::watch_configuration)},
-         {"list_targets", made(platform_call::list_targets)},
-         {"watch_targets", made(platform_call::watch_targets)},
-         {"list_evacuations", made(platform_call::list_evacuations)},
-         {"watch_evacuations", made(platform_call::watch_evacuations)},
-         {"list_nodes", made(platform_call::list_nodes)},
-         {"register_node", made(platform_call::register_node)},
-         {"read_allotments", made(platform_call::read_allotments)},
-         {"write_allotments", made(platform_call::write_allotments)},
+        {{"list_configuration", count_text(platform_call::list_configuration)},
+         {"watch_configuration",
+          count_text(platform_call::watch_configuration)},
+         {"list_targets", count_text(platform_call::list_targets)},
+         {"watch_targets", count_text(platform_call::watch_targets)},
+         {"list_evacuations", count_text(platform_call::list_evacuations)},
+         {"watch_evacuations", count_text(platform_call::watch_evacuations)},
+         {"list_nodes", count_text(platform_call::list_nodes)},
+         {"register_node", count_text(platform_call::register_node)},
+         {"read_allotments", count_text(platform_call::read_allotments)},
+         {"write_allotments", count_text(platform_call::write_allotments)},
          {"conflicts", std::to_string(conflicts_)},
          {"unanswered", std::to_string(unanswered_)}});
-    made_ = {};
+    call_counts_ = {};
     conflicts_ = 0;
     unanswered_ = 0;
 }
@@ -219,7 +224,7 @@
         with = std::make_shared<connection>(tables_.io);
     platform_reply out =
         co_await exchange_on(with, method, target, body, limit);
-    if (with->silent)
+    if (with->timed_out)
         close_idle();
     count(name, out);
     co_return out;
--- a/libs/edge/platform_feed.cpp
+++ b/libs/edge/platform_feed.cpp
@@ -11,30 +11,33 @@
 using telemetry::log_event;
 namespace event = telemetry::event;
 
-/// Between two looks whether this node has to ask: a twelfth of the smallest
-/// limit on age in use.
-constexpr duration look_period = milliseconds(100);
+/// Interval at which the node checks whether it has to ask the platform: a
+/// twelfth of the smallest age limit in use.
+constexpr duration check_period = milliseconds(100);
 
-/// A watcher lists anew this often, in case its watch missed something.
+/// A watcher makes a full listing this often, in case its watch missed a
+/// change.
 constexpr duration relist_period = seconds(20);
 
-/// A watch that fails sooner after the listing it goes on from tells nothing
-/// that the listing didn't. Longer than any pause after it, so that a store
-/// that answers no watch is listed about once in this time.
-constexpr duration early_failure = seconds(1);
+/// A watch that fails sooner than this after its listing provides no more than
+/// the listing did. Longer than any backoff after such a failure, so that a
+/// store that fails every watch is listed about once in this time.
+constexpr duration early_failure_window = seconds(1);
 
-/// At most so often because of a change that doesn't say of what.
+/// Minimum interval of listings that are caused by changes without a name.
 constexpr duration unnamed_relist_period = seconds(2);
 
-/// Failures in a row that still lengthen a pause.
-constexpr int most_failures = 8;
+/// Consecutive failures after which the backoff no longer grows.
+constexpr int max_backoff_failures = 8;
 
-/// Between two cheap calls of a node that is cut off and not needed.
+/// Interval of the cheap probes by a node that is cut off from the platform and
+/// doesn't have to watch it.
 constexpr duration probe_period = seconds(5);
 
-/// That a configuration waits for targets to be answered. A platform may
-/// answer everything but their listing; one call more in this time is cheap.
-constexpr duration longest_hold = seconds(5);
+/// Longest time that the configuration waits for an answer about targets. The
+/// platform may answer everything except their listing; one more call in this
+/// time is cheap.
+constexpr duration max_wait_for_targets = seconds(5);
 
 constexpr const char* stale_metric = "fennelladder_news_stale_total";
 
@@ -45,8 +48,8 @@
 
 } // namespace
 
-platform_feed::news_kind::news_kind(const char* name, node_tables& tables,
-                                    mesh::news_limits limits)
+platform_feed::feed_state::feed_state(const char* name, node_tables& tables,
+                                      mesh::news_limits limits)
     : what(name), duty(limits, tables.random.unit()), pause(tables.io)
 {}
 
@@ -62,20 +65,21 @@
 
 void platform_feed::start()
 {
-    tables_.on_platform_answer = [this] { on_answer(); };
-    configuration_.tried_at = tables_.now();
+    tables_.on_platform_answer = [this] { reset_backoff(); };
+    configuration_.last_attempt = tables_.now();
     spawn(tables_.io, follow_targets());
     spawn(tables_.io, follow_configuration());
     if (tables_.settings.evacuation_bound)
         spawn(tables_.io, follow_evacuations());
     spawn(tables_.io, register_node());
-    spawn(tables_.io, probe());
+    spawn(tables_.io, probe_platform());
 }
 
-/// A watch that isn't answered says little of the platform: the connection may
-/// be what is broken. The listing that follows it says more.
-void platform_feed::note(const platform_reply& reply, platform_call name,
-                         call_kind kind)
+/// A watch without an answer doesn't show that the platform is unreachable,
+/// since only the connection may have broken. The listing that follows shows
+/// more.
+void platform_feed::record_contact(const platform_reply& reply,
+                                   platform_call name, call_kind kind)
 {
     const std::string what(to_string(name));
     if (reply.reached() || kind == call_kind::listing)
@@ -86,191 +90,196 @@
                    {"outcome", std::string(to_string(reply.outcome))}});
 }
 
-// When to ask.
+// Decisions when to ask.
 
-std::size_t platform_feed::rank(const news_kind& kind, bool reached) const
+std::size_t platform_feed::rank(const feed_state& feed, bool reached) const
 {
-    return tables_.peers.rank(kind.what, reached, tables_.capacity(),
+    return tables_.peers.rank(feed.what, reached, tables_.capacity(),
                               tables_.now());
 }
 
-/// What the views of all kinds have in common.
-mesh::news_view platform_feed::view_of(const news_kind& kind) const
+/// The fields that the views of all feeds have in common.
+mesh::news_view platform_feed::view_of(const feed_state& feed) const
 {
     mesh::news_view out;
-    out.rank = rank(kind, tables_.platform.reached);
+    out.rank = rank(feed, tables_.platform.reached);
     out.size = tables_.peers.place_by_size(tables_.capacity(), tables_.now());
     return out;
 }
 
-/// Waits a look's length, or less if the platform answers before.
-awaitable<void> platform_feed::rest(news_kind& kind)
+/// Waits for one check period, or until the platform answers.
+awaitable<void> platform_feed::wait_for_next_check(feed_state& feed)
 {
-    co_await sleep_on(kind.pause, look_period);
+    co_await sleep_on(feed.pause, check_period);
 }
 
-/// A call of any part was answered, so nothing needs to be waited for. Guards
-/// against a node that reaches the platform for its tokens and goes on with
-/// old news until its pause is over.
-void platform_feed::on_answer()
+/// Called when any call of this node was answered. Guards against a node that
+/// reaches the platform for its tokens but keeps a stale state until its
+/// backoff is over.
+void platform_feed::reset_backoff()
 {
-    if (!cut_off_)
+    if (!is_cut_off_)
         return;
-    cut_off_ = false;
-    for (news_kind* it : {&configuration_, &targets_, &evacuations_}) {
+    is_cut_off_ = false;
+    for (feed_state* it : {&configuration_, &targets_, &evacuations_}) {
         it->failures = 0;
-        it->next_try = instant();
+        it->next_attempt = instant();
         it->pause.cancel();
     }
 }
 
-/// While the platform doesn't answer, the targets try for both kinds. Guards
-/// against a leaving that isn't heard of since a configuration of a megabyte
-/// comes: targets wait for nothing but their own pause.
-bool platform_feed::waits_for_targets(const news_kind& kind) const
+/// While the platform doesn't answer, only the targets feed tries to reach it.
+/// Guards against missing that a target leaves because a configuration of a
+/// megabyte is being transferred. Targets wait only for their own backoff.
+bool platform_feed::must_wait_for_targets(const feed_state& feed) const
 {
-    if (tables_.platform.reached || &kind != &configuration_)
+    if (tables_.platform.reached || &feed != &configuration_)
         return false;
     return targets_.reason != mesh::watch_reason::none &&
-           tables_.now() - kind.tried_at < longest_hold;
+           tables_.now() - feed.last_attempt < max_wait_for_targets;
 }
 
-bool platform_feed::held_back(const news_kind& kind) const
+bool platform_feed::is_backing_off(const feed_state& feed) const
 {
-    return tables_.now() < kind.next_try || waits_for_targets(kind);
+    return tables_.now() < feed.next_attempt || must_wait_for_targets(feed);
 }
 
-void platform_feed::hold_back(news_kind& kind, mesh::watch_reason reason)
+void platform_feed::back_off(feed_state& feed, mesh::watch_reason reason)
 {
-    kind.duty.failed();
-    kind.failures = std::min(kind.failures + 1, most_failures);
-    kind.next_try = tables_.now() + mesh::pause_after_failures(
-                                        tables_.random, kind.failures, reason);
+    feed.duty.failed();
+    feed.failures = std::min(feed.failures + 1, max_backoff_failures);
+    feed.next_attempt =
+        tables_.now() +
+        mesh::pause_after_failures(tables_.random, feed.failures, reason);
     if (tables_.platform.reached)
         return;
-    cut_off_ = true;
-    for (news_kind* it : {&configuration_, &targets_, &evacuations_}) {
-        it->failures = kind.failures;
-        it->next_try = kind.next_try;
+    is_cut_off_ = true;
+    for (feed_state* it : {&configuration_, &targets_, &evacuations_}) {
+        it->failures = feed.failures;
+        it->next_attempt = feed.next_attempt;
     }
 }
 
-void platform_feed::note_reason(news_kind& kind, mesh::watch_reason reason,
-                                const mesh::news_view& view)
+void platform_feed::record_reason(feed_state& feed, mesh::watch_reason reason,
+                                  const mesh::news_view& view)
 {
     const bool stale = reason == mesh::watch_reason::stale;
-    if (stale == kind.stale)
+    if (stale == feed.stale)
         return;
-    kind.stale = stale;
+    feed.stale = stale;
     if (!stale) {
-        log_event(event::news_stale_over, {{"kind", kind.what}});
+        log_event(event::news_stale_over, {{"kind", feed.what}});
         return;
     }
-    // A kept connection may be what is broken; a new one shows at once.
+    // An idle connection may be broken; a new one shows at once whether the
+    // platform can be reached.
     client_.close_idle();
-    tables_.metrics.counter_of(stale_metric, {{"kind", kind.what}}).add();
+    tables_.metrics.counter_of(stale_metric, {{"kind", feed.what}}).add();
     const duration none(0);
     log_event(
         event::news_stale,
-        {{"kind", kind.what},
+        {{"kind", feed.what},
          {"age_ms", milliseconds_text(view.age.value_or(none))},
          {"announced_ms", milliseconds_text(view.announced_for.value_or(none))},
          {"rank", std::to_string(view.rank)},
          {"platform_reached", tables_.platform.reached ? "true" : "false"}});
 }
 
-/// True if a watch failed so soon after its listing that the next listing has
-/// to wait. Guards against a store that answers listings and fails watches at
-/// once: each listing would count as all is well, and a megabyte would be
-/// listed and read without a pause.
-bool platform_feed::note_watch_end(news_kind& kind, bool watched)
+/// Returns true if a watch failed so soon after its listing that the next
+/// listing has to wait. Guards against a store that answers listings but fails
+/// watches at once: each listing would count as a success, and a megabyte would
+/// be listed and parsed again without a pause.
+bool platform_feed::record_watch_result(feed_state& feed, bool watched)
 {
-    const bool early = tables_.now() - kind.listed_at < early_failure;
+    const bool early = tables_.now() - feed.listed_at < early_failure_window;
     if (!early)
-        kind.lost_watches = 0;
+        feed.early_watch_failures = 0;
     if (watched || !early)
         return false;
-    kind.lost_watches = std::min(kind.lost_watches + 1, most_failures);
+    feed.early_watch_failures =
+        std::min(feed.early_watch_failures + 1, max_backoff_failures);
     return true;
 }
 
-/// Lists or watches, whichever is due.
-awaitable<bool> platform_feed::ask(news_kind& kind, call_function list,
-                                   call_function watch)
+/// Makes a listing or a watch, whichever is due. Returns true on success.
+awaitable<bool> platform_feed::list_or_watch(feed_state& feed,
+                                             call_function list,
+                                             call_function watch)
 {
-    if (kind.listed && tables_.now() - kind.listed_at < relist_period) {
+    if (feed.listed && tables_.now() - feed.listed_at < relist_period) {
         const bool watched = co_await (this->*watch)();
-        kind.listed = watched;
-        if (note_watch_end(kind, watched))
+        feed.listed = watched;
+        if (record_watch_result(feed, watched))
             co_return false;
         if (watched)
             co_return true;
     }
-    // Also after a watch that failed late: the history may be gone, or just
-    // the one connection. Only if this fails too the platform isn't reached.
-    kind.listed = co_await (this->*list)();
-    kind.listed_at = tables_.now();
-    co_return kind.listed;
+    // Also after a watch that failed late: the history may be gone, or only the
+    // connection. The platform counts as unreachable only if this fails too.
+    feed.listed = co_await (this->*list)();
+    feed.listed_at = tables_.now();
+    co_return feed.listed;
 }
 
-awaitable<void> platform_feed::follow(news_kind& kind, view_function look,
+awaitable<void> platform_feed::follow(feed_state& feed, view_function make_view,
                                       call_function list, call_function watch)
 {
     for (;;) {
-        const mesh::news_view view = (this->*look)();
-        const mesh::watch_reason reason = kind.duty.decide(view);
-        note_reason(kind, reason, view);
-        kind.reason = reason;
+        const mesh::news_view view = (this->*make_view)();
+        const mesh::watch_reason reason = feed.duty.decide(view);
+        record_reason(feed, reason, view);
+        feed.reason = reason;
         if (reason == mesh::watch_reason::none)
-            kind.listed = false;
-        if (reason == mesh::watch_reason::none || held_back(kind)) {
-            co_await rest(kind);
+            feed.listed = false;
+        if (reason == mesh::watch_reason::none || is_backing_off(feed)) {
+            co_await wait_for_next_check(feed);
             continue;
         }
-        const instant begun = tables_.now();
-        kind.tried_at = begun;
-        kind.age_before.reset();
-        const bool fine = co_await ask(kind, list, watch);
-        if (fine)
-            settle(kind, tables_.now() - begun);
+        const instant started = tables_.now();
+        feed.last_attempt = started;
+        feed.previous_age.reset();
+        const bool succeeded = co_await list_or_watch(feed, list, watch);
+        if (succeeded)
+            record_success(feed, tables_.now() - started);
         else
-            hold_back(kind, reason);
+            back_off(feed, reason);
     }
 }
 
-/// After an answer.
-void platform_feed::settle(news_kind& kind, duration elapsed)
+/// Updates the state of the feed after a successful call.
+void platform_feed::record_success(feed_state& feed, duration elapsed)
 {
-    // A listing doesn't show that watches work again.
-    kind.failures = kind.lost_watches;
-    kind.duty.answered(elapsed, kind.age_before, tables_.random);
-    // Others are about to ask as well; hearing of it spares them the call.
-    if (kind.age_before > kind.stale_after)
+    // The backoff is kept while watches fail: a successful listing doesn't show
+    // that they work again.
+    feed.failures = feed.early_watch_failures;
+    feed.duty.answered(elapsed, feed.previous_age, tables_.random);
+    // Other nodes are about to ask too; an update saves them the call.
+    if (feed.previous_age > feed.stale_after)
         tables_.broadcast_update();
 }
 
-/// Makes a call that costs little where this node would watch if it reached
-/// the platform.
-awaitable<void> platform_feed::probe()
+/// Makes a cheap call from time to time if this node would have to watch if it
+/// reached the platform.
+awaitable<void> platform_feed::probe_platform()
 {
     asio::steady_timer timer(tables_.io);
     for (;;) {
         co_await sleep_on(timer, jitter(tables_.random, probe_period));
-        const bool tries_anyway =
+        const bool is_asking =
             configuration_.reason != mesh::watch_reason::none ||
             targets_.reason != mesh::watch_reason::none ||
             evacuations_.reason != mesh::watch_reason::none;
         const std::size_t best =
             std::min(rank(configuration_, true), rank(targets_, true));
-        if (!tries_anyway && mesh::should_probe(tables_.platform.reached, best))
+        if (!is_asking && mesh::should_probe(tables_.platform.reached, best))
             (void)co_await list_nodes();
     }
 }
 
-/// Waits longer after each failure in a row.
-awaitable<void> platform_feed::pause_after_failure(int& failures)
+/// Waits longer after each consecutive failure.
+awaitable<void> platform_feed::back_off_after_failure(int& failures)
 {
-    failures = std::min(failures + 1, most_failures);
+    failures = std::min(failures + 1, max_backoff_failures);
     asio::steady_timer timer(tables_.io);
     co_await sleep_on(timer,
                       mesh::pause_after_failures(tables_.random, failures,
@@ -284,11 +293,11 @@
     tables_.unreadable.note(kind, object.name, object.changed, cause);
 }
 
-/// A change without a name leaves open which entry isn't good any more: only
-/// those that a listing still holds are.
-void platform_feed::list_soon(news_kind& kind)
+/// After a change without a name it is unknown which entry became invalid; only
+/// a listing shows which ones are still valid.
+void platform_feed::schedule_listing(feed_state& feed)
 {
-    kind.listed_at = std::min(kind.listed_at, tables_.now() - relist_period +
+    feed.listed_at = std::min(feed.listed_at, tables_.now() - relist_period +
                                                   unnamed_relist_period);
 }
 
--- a/libs/edge/platform_feed_configuration.cpp
+++ b/libs/edge/platform_feed_configuration.cpp
@@ -1,4 +1,4 @@
-// The part of platform_feed that follows the configuration.
+// Implements the configuration feed of platform_feed.
 
 #include "platform_feed_fetch.hpp"
 
@@ -13,20 +13,21 @@
 
 } // namespace
 
-/// Also when the newest one can't be read. Its age would otherwise make every
-/// node of the fleet list and watch, and none would read more in it than the
-/// two that do so anyway; the operator's next change reaches those at once.
+/// Also called if the newest configuration can't be parsed. Otherwise its age
+/// would make every node of the fleet list and watch, and none could parse more
+/// of it than the two that watch anyway. These get the operator's next change
+/// at once.
 void platform_feed::confirm_configuration(instant at)
 {
-    configuration_.age_before =
+    configuration_.previous_age =
         tables_.configuration_freshness.age(tables_.now());
     tables_.confirm_configuration(at);
-    // Whatever was announced, the platform has nothing newer.
+    // The platform has nothing newer, whatever peers have announced.
     tables_.configuration_announced.reset();
 }
 
-/// Guards against a small host that reads a megabyte, and keeps its callers
-/// waiting, to find what it has.
+/// Checked before parsing the rest. Guards against a small host that blocks its
+/// callers while it parses a megabyte that it already has.
 bool platform_feed::is_in_force(const adapter::stored_object& object) const
 {
     const auto version =
@@ -63,7 +64,7 @@
         apply_configuration(it);
     configuration_as_of_ = page->value.as_of;
     confirm_configuration(page->first_byte_at);
-    // The operator may not have written the first one yet.
+    // Fails if the operator hasn't written the first configuration yet.
     co_return tables_.config != nullptr;
 }
 
@@ -71,16 +72,16 @@
 {
     std::string target = adapter::watch_target(
         object_kind::configuration, configuration_as_of_, limits_.watch_wait);
-    const auto news =
+    const auto answer =
         co_await fetch(platform_call::watch_configuration, call_kind::watch,
                        target, adapter::decode_watch);
-    if (!news)
+    if (!answer)
         co_return false;
-    for (const adapter::object_event& it : news->value.events)
+    for (const adapter::object_event& it : answer->value.events)
         if (!it.gone)
             apply_configuration(it.object);
-    configuration_as_of_ = news->value.as_of;
-    confirm_configuration(news->first_byte_at);
+    configuration_as_of_ = answer->value.as_of;
+    confirm_configuration(answer->first_byte_at);
     co_return true;
 }
 
--- a/libs/edge/platform_feed_evacuations.cpp
+++ b/libs/edge/platform_feed_evacuations.cpp
@@ -1,7 +1,7 @@
-// The part of platform_feed that follows the operator's evacuations.
+// Implements the evacuations feed of platform_feed.
 //
-// An entry counts by its name alone, whatever it holds: an evacuation that was
-// asked for mustn't be missed since its content can't be read.
+// An entry is identified by its name alone, whatever it contains: a requested
+// evacuation mustn't be missed because its content can't be parsed.
 
 #include "platform_feed_fetch.hpp"
 
@@ -24,7 +24,8 @@
 
 void platform_feed::confirm_evacuations(instant at)
 {
-    evacuations_.age_before = tables_.evacuations_freshness.age(tables_.now());
+    evacuations_.previous_age =
+        tables_.evacuations_freshness.age(tables_.now());
     tables_.confirm_evacuations(at);
 }
 
@@ -62,24 +63,25 @@
 
 awaitable<bool> platform_feed::watch_evacuations()
 {
-    // Another node's word may come meanwhile; the changes follow on this.
+    // The changes apply to this state. A peer may update the tables while the
+    // watch waits.
     catalog::evacuation_list known = tables_.evacuations;
     std::string target = adapter::watch_target(
         object_kind::evacuations, known.as_of(), limits_.watch_wait);
-    const auto news =
+    const auto answer =
         co_await fetch(platform_call::watch_evacuations, call_kind::watch,
                        target, adapter::decode_watch);
-    if (!news)
+    if (!answer)
         co_return false;
     std::vector<catalog::evacuation_change> changes;
-    for (const adapter::object_event& it : news->value.events) {
+    for (const adapter::object_event& it : answer->value.events) {
         if (is_data_center(it.object))
             changes.push_back({data_center_id(it.object.name), !it.gone});
         else
-            list_soon(evacuations_);
+            schedule_listing(evacuations_);
     }
-    known.apply(changes, news->value.as_of);
-    apply_evacuations(known.state(), news->first_byte_at);
+    known.apply(changes, answer->value.as_of);
+    apply_evacuations(known.state(), answer->first_byte_at);
     co_return true;
 }
 
--- a/libs/edge/platform_feed_fetch.hpp
+++ b/libs/edge/platform_feed_fetch.hpp
@@ -1,4 +1,4 @@
-// How platform_feed reads from the platform. Only its sources include this.
+// Reads from the platform. Included only by the sources of platform_feed.
 
 #ifndef FENNELLADDER_EDGE_PLATFORM_FEED_FETCH_HPP
 #define FENNELLADDER_EDGE_PLATFORM_FEED_FETCH_HPP
@@ -7,33 +7,34 @@
 
 namespace fennelladder::edge {
 
-/// After a watch's wait. The platform answers within milliseconds of it.
-inline constexpr duration silence_after_wait = milliseconds(500);
+/// Timeout of a watch beyond its wait time. The platform answers within
+/// milliseconds after the wait.
+inline constexpr duration watch_timeout_margin = milliseconds(500);
 
-/// Until the head of a listing.
-inline constexpr duration list_limit = milliseconds(1500);
+/// Timeout for the head of the response to a listing.
+inline constexpr duration list_timeout = milliseconds(1500);
 
 template <class Answer>
-awaitable<std::optional<platform_feed::dated<Answer>>>
+awaitable<std::optional<platform_feed::timed<Answer>>>
 platform_feed::fetch(platform_call name, call_kind kind, std::string target,
                      result<Answer> (*decode)(const std::string&))
 {
     const duration limit = kind == call_kind::watch
-                               ? limits_.watch_wait + silence_after_wait
-                               : list_limit;
+                               ? limits_.watch_wait + watch_timeout_margin
+                               : list_timeout;
     const auto got =
         co_await client_.call(name, http::verb::get, target, "", limit);
-    note(got, name, kind);
+    record_contact(got, name, kind);
     if (got.outcome != call_outcome::done)
         co_return std::nullopt;
-    auto read = decode(got.body);
-    if (!read) {
+    auto decoded = decode(got.body);
+    if (!decoded) {
         tables_.unreadable.note(unreadable_kind::answer,
                                 std::string(to_string(name)),
-                                catalog::revision(), read.error());
+                                catalog::revision(), decoded.error());
         co_return std::nullopt;
     }
-    co_return dated<Answer>{std::move(*read), got.first_byte_at};
+    co_return timed<Answer>{std::move(*decoded), got.first_byte_at};
 }
 
 } // namespace fennelladder::edge
--- a/libs/edge/platform_feed_nodes.cpp
+++ b/libs/edge/platform_feed_nodes.cpp
@@ -1,4 +1,4 @@
-// The part of platform_feed by which the nodes of a fleet find each other.
+// Implements the discovery of peers through the platform in platform_feed.
 
 #include "platform_feed_fetch.hpp"
 
@@ -18,7 +18,7 @@
 } // namespace
 
 std::optional<std::string>
-platform_feed::address_of(const adapter::stored_object& object)
+platform_feed::parse_address(const adapter::stored_object& object)
 {
     const auto address = object.content.and_then(
         [](const nlohmann::json& it) -> result<std::string> {
@@ -26,7 +26,7 @@
             const bool is_text = found != it.end() && found->is_string();
             std::string text = is_text ? found->get<std::string>() : "";
             if (!is_ip_and_port(text))
-                return fail(error_code::corrupt, "not an address");
+                return fail(error_code::corrupt, "not an IP address and port");
             return text;
         });
     if (!address) {
@@ -50,7 +50,7 @@
         const std::string before = after;
         std::vector<std::string> addresses;
         for (const adapter::stored_object& it : page->value.objects) {
-            if (const auto address = address_of(it))
+            if (const auto address = parse_address(it))
                 addresses.push_back(*address);
             if (!it.name.empty())
                 after = it.name;
@@ -61,7 +61,8 @@
     co_return true;
 }
 
-/// Seeds may be stale or down: then nodes find each other here.
+/// Registers this node's address and lists those of the others. Lets nodes find
+/// each other if the seeds are out of date or down.
 awaitable<void> platform_feed::register_node()
 {
     const std::string& name = tables_.settings.host.str();
@@ -73,26 +74,26 @@
             adapter::encode_object(name, catalog::revision(), content);
         auto got =
             co_await client_.call(platform_call::register_node,
-                                  http::verb::post, target, body, list_limit);
+                                  http::verb::post, target, body, list_timeout);
         if (got.outcome == call_outcome::conflict) {
-            const auto there = adapter::decode_object(got.body);
-            if (there && there->content && *there->content == content)
+            const auto existing = adapter::decode_object(got.body);
+            if (existing && existing->content && *existing->content == content)
                 break;
             target = adapter::object_target(object_kind::nodes, name,
                                             freshness::newest);
             got = co_await client_.call(platform_call::register_node,
                                         http::verb::put, target, body,
-                                        list_limit);
+                                        list_timeout);
         }
         if (got.outcome == call_outcome::done)
             break;
-        co_await pause_after_failure(failures);
+        co_await back_off_after_failure(failures);
     }
     bool listed = false;
     while (!listed) {
         listed = co_await list_nodes();
         if (!listed)
-            co_await pause_after_failure(failures);
+            co_await back_off_after_failure(failures);
     }
 }
 
--- a/libs/edge/platform_feed_targets.cpp
+++ b/libs/edge/platform_feed_targets.cpp
@@ -1,4 +1,4 @@
-// The part of platform_feed that follows the list of targets.
+// Implements the targets feed of platform_feed.
 
 #include "platform_feed_fetch.hpp"
 
@@ -17,12 +17,12 @@
 
 void platform_feed::confirm_targets(instant at)
 {
-    targets_.age_before = tables_.targets_freshness.age(tables_.now());
+    targets_.previous_age = tables_.targets_freshness.age(tables_.now());
     tables_.confirm_targets(at);
 }
 
 std::optional<catalog::target_change>
-platform_feed::target_of(const adapter::stored_object& object)
+platform_feed::parse_target(const adapter::stored_object& object)
 {
     auto entry = object.content.and_then([&](const nlohmann::json& spec) {
         return adapter::decode_target(object.name, spec);
@@ -34,10 +34,10 @@
     return catalog::target_change{entry->id, *entry, object.changed};
 }
 
-/// An entry that was good and turns unreadable is a removal; one that never
-/// was good is nothing, however often its writer changes it.
+/// An entry that was valid and becomes unreadable counts as a removal. One that
+/// was never valid is ignored, however often it is changed.
 std::vector<catalog::target_change>
-platform_feed::changes_of(const adapter::watch_answer& news)
+platform_feed::parse_changes(const adapter::watch_answer& answer)
 {
     std::vector<catalog::target_change> out;
     const auto is_known = [&](const target_id& id) {
@@ -45,15 +45,15 @@
                std::ranges::find(out, id, &catalog::target_change::id) !=
                    out.end();
     };
-    for (const adapter::object_event& it : news.events) {
+    for (const adapter::object_event& it : answer.events) {
         const target_id id(it.object.name);
-        const auto change = it.gone ? std::nullopt : target_of(it.object);
+        const auto change = it.gone ? std::nullopt : parse_target(it.object);
         if (change)
             out.push_back(*change);
         else if (id.empty())
-            list_soon(targets_);
+            schedule_listing(targets_);
         else if (it.gone || is_known(id))
-            out.push_back({id, std::nullopt, news.as_of});
+            out.push_back({id, std::nullopt, answer.as_of});
     }
     return out;
 }
@@ -74,19 +74,19 @@
         if (!page)
             co_return false;
         for (const adapter::stored_object& it : page->value.objects) {
-            if (const auto change = target_of(it))
+            if (const auto change = parse_target(it))
                 entries.push_back(*change);
             if (!it.name.empty())
                 after = it.name;
         }
-        // Later pages may be newer; what changed since the first is watched
-        // from there.
+        // Later pages may be newer. The next watch starts from the revision of
+        // the first page, so it delivers all changes since then.
         if (!as_of) {
             as_of = page->value.as_of;
             first_byte_at = page->first_byte_at;
         }
         more = page->value.more && !page->value.objects.empty();
-        // Nothing on the page says where to go on.
+        // No object of the page has a name to continue from.
         if (more && after == before)
             co_return false;
     }
@@ -106,15 +106,15 @@
 {
     std::string target = adapter::watch_target(
         object_kind::targets, tables_.targets.as_of(), limits_.watch_wait);
-    const auto news =
+    const auto answer =
         co_await fetch(platform_call::watch_targets, call_kind::watch, target,
                        adapter::decode_watch);
-    if (!news)
+    if (!answer)
         co_return false;
-    const auto changes = changes_of(news->value);
-    if (!tables_.targets.apply(changes, news->value.as_of))
+    const auto changes = parse_changes(answer->value);
+    if (!tables_.targets.apply(changes, answer->value.as_of))
         co_return true;
-    confirm_targets(news->first_byte_at);
+    confirm_targets(answer->first_byte_at);
     if (!changes.empty()) {
         tables_.update_target_registry();
         tables_.broadcast_update();
