--- a/include/fennelladder/edge/target_prober.hpp
+++ b/include/fennelladder/edge/target_prober.hpp
@@ -1,17 +1,17 @@
-// Finds out whether a target that broke off an answer has died, and blames
-// the requests that ran there if it has.
+// Determines whether a target that broke off a response has died, and if so
+// marks the requests that ran there as suspects.
 //
 //     prober.on_broken_answer(process, mark);
 //
-// A broken answer alone says little: answers get lost on targets that live.
-// The prober dials the target; a connection is kept for the next request, a
-// refusal or silence is the death of the target, and then every request whose
-// answer broke there at about that time is noted in the poison list, and the
-// other nodes are told.
+// A broken response alone is weak evidence: responses also get lost on targets
+// that are alive. The prober connects to the target. If that succeeds, the
+// connection is kept for the next request. If it is refused or times out, the
+// target counts as dead: every request whose response broke off there at about
+// that time is added to the poison list, and the other nodes are told.
 //
-// A target may start again under its id so soon that its new process takes the
-// dial. A process whose target is listed with a later start, before an answer
-// broke or within seconds after it, has died as well.
+// A target may restart under the same id so soon that its new process accepts
+// the connection. A process also counts as dead if its target is listed with a
+// later start time, before the response broke off or within seconds after it.
 //
 // Not thread safe.
 
@@ -30,12 +30,12 @@
 public:
     explicit target_prober(node_tables& tables) : tables_(tables) {}
 
-    /// An answer of `target` to the request broke off.
+    /// Call when a response of `target` to the request broke off.
     void on_broken_answer(const catalog::target_process& target,
                           dispatch::request_mark mark);
 
-    /// The request had no whole answer for another reason. It says something of
-    /// the request only if the process is known to be over.
+    /// Call when the request got no complete response for another reason. Only
+    /// makes the request a suspect if the process is known to have ended.
     void on_unfinished_request(const catalog::target_process& target,
                                dispatch::request_mark mark);
 
@@ -44,12 +44,12 @@
 
     awaitable<void> probe(catalog::target_process target);
     awaitable<bool> is_unreachable(catalog::target_process target);
-    bool started_again(const catalog::target_process& target) const;
-    void blame(const catalog::target_process& target,
-               const suspect_list& suspects);
+    bool has_restarted(const catalog::target_process& target) const;
+    void record_death(const catalog::target_process& target,
+                      const suspect_list& suspects);
 
     node_tables& tables_;
-    /// Requests whose answers broke, by target, while a probe is under way.
+    /// Requests whose responses broke off, by target, while it is being probed.
     std::map<catalog::target_process, suspect_list> suspects_;
 };
 
--- a/include/fennelladder/edge/unreadable_objects.hpp
+++ b/include/fennelladder/edge/unreadable_objects.hpp
@@ -1,12 +1,12 @@
-// Objects, entries and messages that couldn't be read: counted each time, and
-// logged once each and cause.
+// Counts objects, entries and messages that couldn't be parsed, and logs each
+// once per cause.
 //
 //     tables.unreadable.note(unreadable_kind::target, object.name,
 //                            object.changed, entry.error());
 //
-// An entry that another program writes in a format of its own is read again
-// with each listing and changes with each of its heartbeats. Without a memory
-// it would fill the log with one and the same line.
+// An entry that another program writes in a different format is read again with
+// every listing and changes with each of its heartbeats. Without deduplication,
+// it would fill the log with identical lines.
 //
 // Not thread safe.
 
@@ -26,13 +26,13 @@
 
 enum class unreadable_kind : std::uint8_t
 {
-    configuration, ///< The last good one stays in force.
-    target,        ///< Counts as gone.
-    evacuation,    ///< Has no name, so says nothing of any data centre.
+    configuration, ///< The last valid one stays in force.
+    target,        ///< Treated as removed.
+    evacuation,    ///< Without a name, so it applies to no data centre.
     node,          ///< Its address isn't used.
-    allotment,     ///< The last good record stays; none is written.
-    answer,        ///< A whole answer of the platform; it is asked again.
-    message        ///< Of another node, or a part of it.
+    allotment,     ///< The last valid record is kept; none is written.
+    answer, ///< A complete response of the platform; the call is retried.
+    message ///< A message of another node, or a part of one.
 };
 
 class unreadable_objects
@@ -40,20 +40,22 @@
 public:
     explicit unreadable_objects(telemetry::metrics& metrics);
 
-    /// `name` says which object it was, or who sent the message. `changed` is
-    /// 0 if it isn't known.
+    /// Counts the object and logs it if the cause is new. `name` is the name of
+    /// the object or the sender of the message. `changed` is the revision of
+    /// the object, or 0 if unknown.
     void note(unreadable_kind kind, const std::string& name,
               catalog::revision changed, const error& cause);
 
+    /// Number of calls of note() for this kind.
     std::uint64_t count(unreadable_kind kind) const;
 
 private:
     telemetry::counter& counter_of(unreadable_kind kind) const;
-    bool is_news(unreadable_kind kind, const std::string& name,
-                 const std::string& cause);
+    bool is_new_cause(unreadable_kind kind, const std::string& name,
+                      const std::string& cause);
 
     telemetry::metrics& metrics_;
-    /// Hash of the cause that was logged last, by kind and name.
+    /// Hash of the last logged cause, by kind and name.
     std::map<std::pair<unreadable_kind, std::string>, std::uint64_t> logged_;
 };
 
--- a/libs/edge/target_prober.cpp
+++ b/libs/edge/target_prober.cpp
@@ -6,16 +6,17 @@
 
 namespace {
 
-/// A process that dies closes its connections before its listener in any
-/// order; by now both are closed.
-constexpr duration settling = milliseconds(30);
-constexpr duration probe_limit = milliseconds(400);
+/// Delay before the probe. A dying process closes its connections and its
+/// listener in any order; after this delay both are closed.
+constexpr duration probe_delay = milliseconds(30);
+constexpr duration probe_timeout = milliseconds(400);
 
-/// A target that starts again within a moment answers the dial with its new
-/// process. The death shows when the entry of that comes: targets write theirs
-/// at their start, and it is passed on within two seconds.
-constexpr duration restart_news = seconds(5);
-constexpr duration restart_check = milliseconds(200);
+/// How long to watch for a restart. The new process of a target that restarts
+/// at once accepts the probe's connection. The death then shows in the list:
+/// targets write their entry when they start, and nodes have it within two
+/// seconds.
+constexpr duration restart_watch_time = seconds(5);
+constexpr duration restart_check_period = milliseconds(200);
 
 } // namespace
 
@@ -31,33 +32,33 @@
 void target_prober::on_unfinished_request(const catalog::target_process& target,
                                           dispatch::request_mark mark)
 {
-    if (started_again(target))
-        blame(target, {mark});
+    if (has_restarted(target))
+        record_death(target, {mark});
 }
 
-void target_prober::blame(const catalog::target_process& target,
-                          const suspect_list& suspects)
+void target_prober::record_death(const catalog::target_process& target,
+                                 const suspect_list& suspects)
 {
-    bool news = false;
+    bool is_new = false;
     for (const dispatch::request_mark mark : suspects)
-        news |= tables_.poison.note_death(mark, target, tables_.now());
+        is_new |= tables_.poison.note_death(mark, target, tables_.now());
     telemetry::log_event(telemetry::event::target_died,
                          {{"target", target.id.str()},
                           {"start", std::to_string(target.start.value())},
                           {"suspects", std::to_string(suspects.size())}});
-    if (news)
+    if (is_new)
         tables_.broadcast_update();
 }
 
-bool target_prober::started_again(const catalog::target_process& target) const
+bool target_prober::has_restarted(const catalog::target_process& target) const
 {
     const auto entry = tables_.registry.entry_of(target.id);
     return entry && catalog::is_said(target.start) &&
            entry->start > target.start;
 }
 
-/// Whether the process can't be reached. Nothing is known of one whose entry
-/// is gone.
+/// Whether the process can't be connected to. False if its entry is gone, since
+/// its address is then unknown.
 awaitable<bool> target_prober::is_unreachable(catalog::target_process target)
 {
     const auto entry = tables_.registry.entry_of(target.id);
@@ -66,7 +67,7 @@
     const target_endpoint to{target, entry->address};
     tables_.pool.drop_idle(to);
     connection_ptr made = tables_.pool.make(to);
-    const status opened = co_await tables_.pool.open(made, probe_limit);
+    const status opened = co_await tables_.pool.open(made, probe_timeout);
     if (!opened)
         co_return true;
     tables_.pool.give_back(made, std::nullopt, tables_.now());
@@ -76,23 +77,22 @@
 awaitable<void> target_prober::probe(catalog::target_process target)
 {
     asio::steady_timer timer(tables_.io);
-    co_await sleep_on(timer, settling);
+    co_await sleep_on(timer, probe_delay);
     const bool unreachable = co_await is_unreachable(target);
-    // Whether the target lived as a later answer breaks takes a dial of its
-    // own.
+    // Responses that break off from now on need a probe of their own.
     const suspect_list suspects = std::move(suspects_[target]);
     suspects_.erase(target);
     if (unreachable)
         tables_.registry.learned(target, dispatch::target_evidence::unreachable,
                                  tables_.now());
-    const instant until = tables_.now() + restart_news;
-    bool died = unreachable || started_again(target);
-    while (!died && tables_.now() < until) {
-        co_await sleep_on(timer, restart_check);
-        died = started_again(target);
+    const instant watch_end = tables_.now() + restart_watch_time;
+    bool died = unreachable || has_restarted(target);
+    while (!died && tables_.now() < watch_end) {
+        co_await sleep_on(timer, restart_check_period);
+        died = has_restarted(target);
     }
     if (died)
-        blame(target, suspects);
+        record_death(target, suspects);
 }
 
 } // namespace fennelladder::edge
--- a/libs/edge/unreadable_objects.cpp
+++ b/libs/edge/unreadable_objects.cpp
@@ -12,12 +12,12 @@
 
 constexpr const char* metric = "fennelladder_unreadable_objects_total";
 
-/// Objects remembered; beyond it all are forgotten and may be logged once
-/// more, within the log's own budget.
-constexpr std::size_t most_remembered = 1'024;
+/// Objects remembered. If there are more, all are forgotten and may be logged
+/// once again, subject to the log's own rate limit.
+constexpr std::size_t max_remembered = 1'024;
 
-/// Of a name or cause in the log, in bytes: both are made up by others.
-constexpr std::size_t longest_text = 200;
+/// Longest name or cause in the log, in bytes. Both come from other programs.
+constexpr std::size_t max_text_bytes = 200;
 
 const char* name_of(unreadable_kind kind)
 {
@@ -68,10 +68,11 @@
     return counter_of(kind).value();
 }
 
-bool unreadable_objects::is_news(unreadable_kind kind, const std::string& name,
-                                 const std::string& cause)
+bool unreadable_objects::is_new_cause(unreadable_kind kind,
+                                      const std::string& name,
+                                      const std::string& cause)
 {
-    if (logged_.size() >= most_remembered)
+    if (logged_.size() >= max_remembered)
         logged_.clear();
     const std::uint64_t hash = hash64(cause);
     const auto [it, is_new] = logged_.try_emplace({kind, name}, hash);
@@ -85,9 +86,9 @@
                               catalog::revision changed, const error& cause)
 {
     counter_of(kind).add();
-    const std::string short_name = name.substr(0, longest_text);
-    const std::string short_cause = cause.message.substr(0, longest_text);
-    if (!is_news(kind, short_name, short_cause))
+    const std::string short_name = name.substr(0, max_text_bytes);
+    const std::string short_cause = cause.message.substr(0, max_text_bytes);
+    if (!is_new_cause(kind, short_name, short_cause))
         return;
     log_event(event_of(kind), {{"kind", name_of(kind)},
                                {"object", short_name},
