--- a/include/fennelladder/edge/attempt.hpp
+++ b/include/fennelladder/edge/attempt.hpp
@@ -35,7 +35,7 @@
     adapter::header_fields fields;
     std::string body;
     bool has_body = false;
-    adapter::request_facts facts;
+    adapter::request_header_values facts;
     instant arrived;     ///< When its head was read.
     bool dialed = false; ///< It is the first on its connection.
 };
@@ -47,7 +47,7 @@
     const caller_request& request;
     const catalog::route& way;
     const dispatch::choice& target;
-    adapter::passing_on order;
+    adapter::forwarding_headers order;
     caller_reply& reply;
     event_splitter& events;
     /// Rest that a kept connection may have had at most.
--- a/include/fennelladder/edge/caller_reply.hpp
+++ b/include/fennelladder/edge/caller_reply.hpp
@@ -27,7 +27,7 @@
 {
     unsigned status = 0;
     std::string reason;
-    std::string headers; ///< Lines for the caller, see encode_answer_headers.
+    std::string headers; ///< Lines for the caller, see encode_response_headers.
     /// Content-Length as the target wrote it; empty: not stated. Counts only
     /// where no body is sent, since else the body's size is known.
     std::string stated_length;
--- a/include/fennelladder/edge/platform_feed.hpp
+++ b/include/fennelladder/edge/platform_feed.hpp
@@ -151,7 +151,7 @@
     std::optional<catalog::target_change>
     target_of(const adapter::stored_object& object);
     std::vector<catalog::target_change>
-    changes_of(const adapter::watch_answer& news);
+    changes_of(const adapter::watch_response& news);
     std::optional<std::string> address_of(const adapter::stored_object& object);
     void list_soon(news_kind& kind);
 
--- a/libs/edge/allotment_writer.cpp
+++ b/libs/edge/allotment_writer.cpp
@@ -70,16 +70,16 @@
 bool allotment_writer::adopt(const adapter::stored_object& object)
 {
     auto read = object.content.and_then(prepaid::allotment_from_json);
-    if (read && object.changed == catalog::revision())
+    if (read && object.revision == catalog::revision())
         read = fail(error_code::corrupt, "no revision");
     if (read && record_ && !prepaid::follows(*record_, *read))
         read = fail(error_code::corrupt, "less allotted than before");
     if (!read) {
-        note_unreadable(object.changed, read.error());
+        note_unreadable(object.revision, read.error());
         return false;
     }
     record_ = std::move(*read);
-    record_revision_ = object.changed;
+    record_revision_ = object.revision;
     record_read_ = tables_.now();
     return true;
 }
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -52,7 +52,7 @@
 private:
     awaitable<bool> connect();
     void note_signals(const answer_parser& parser,
-                      const adapter::answer_facts& facts);
+                      const adapter::response_header_values& facts);
     bool is_wanted();
     bool caller_has_ended() const;
     bool answer_counts() const;
@@ -63,7 +63,7 @@
     awaitable<bool> read_piece(answer_parser& parser, std::string& out);
     awaitable<bool> skip(answer_parser& parser);
     awaitable<void> take_answer(answer_parser& parser,
-                                const adapter::answer_facts& facts);
+                                const adapter::response_header_values& facts);
     awaitable<void> pass_stream(answer_parser& parser);
     awaitable<void> pass_whole(answer_parser& parser);
     awaitable<void> pass_large(answer_parser& parser, std::string begun);
@@ -206,7 +206,7 @@
     std::optional<std::size_t> body_size;
     if (request.has_body)
         body_size = request.body.size();
-    outgoing_->head = adapter::encode_request(
+    outgoing_->head = adapter::encode_request_head(
         request.method, request.path, request.fields, in_.order, body_size);
     outgoing_->body = request.body;
     outgoing_->connection = connection_;
@@ -286,7 +286,7 @@
     out.status = parser.get().result_int();
     const auto reason = parser.get().reason();
     out.reason = std::string(reason.data(), reason.size());
-    out.headers = adapter::encode_answer_headers(parser.get().base());
+    out.headers = adapter::encode_response_headers(parser.get().base());
     const auto length = parser.get()[http::field::content_length];
     out.stated_length = std::string(length.data(), length.size());
     return out;
@@ -294,7 +294,7 @@
 
 void attempt::give_back(const answer_parser& parser)
 {
-    const auto facts = adapter::read_answer(parser.get().base());
+    const auto facts = adapter::parse_response_headers(parser.get().base());
     // A target that rejects a request may do so before it has read a long
     // body, and end the connection over it.
     const bool unread =
@@ -302,7 +302,7 @@
     // Where the sending side was ended, no other request can follow.
     const bool clean = !caller_has_ended() && !unread && parser.is_done() &&
                        !parser.need_eof() && parser.keep_alive() &&
-                       !facts.closes && outgoing_->done &&
+                       !facts.closes_connection && outgoing_->done &&
                        connection_->buf.size() == 0;
     in_.course.release();
     if (!clean)
@@ -448,10 +448,10 @@
 /// late one to another request; only what the target signed for this request is
 /// known to be its latest word.
 void attempt::note_signals(const answer_parser& parser,
-                           const adapter::answer_facts& facts)
+                           const adapter::response_header_values& facts)
 {
-    auto said =
-        adapter::read_signals(parser.get().result_int(), parser.get().base());
+    auto said = adapter::parse_target_signals(parser.get().result_int(),
+                                              parser.get().base());
     if (!said)
         return;
     said->is_latest =
@@ -461,14 +461,15 @@
     log_signals(in_.target.target, *said, news, "answer");
 }
 
-awaitable<void> attempt::take_answer(answer_parser& parser,
-                                     const adapter::answer_facts& facts)
+awaitable<void>
+attempt::take_answer(answer_parser& parser,
+                     const adapter::response_header_values& facts)
 {
     const unsigned status = parser.get().result_int();
-    if (facts.not_run || status == adapter::misdirected) {
+    if (facts.not_run || status == adapter::status_misdirected_request) {
         (void)co_await skip(parser);
         give_back(parser);
-        const bool moved = status == adapter::misdirected;
+        const bool moved = status == adapter::status_misdirected_request;
         end(moved ? attempt_end::other_life : attempt_end::rejected,
             moved ? target_evidence::other_life : target_evidence::full,
             "status " + std::to_string(status));
@@ -505,7 +506,8 @@
         const bool read = co_await read_head(parser);
         if (!read)
             co_return;
-        const auto facts = adapter::read_answer(parser->get().base());
+        const auto facts =
+            adapter::parse_response_headers(parser->get().base());
         note_signals(*parser, facts);
         if (facts.request.empty() || facts.request == in_.request.facts.id) {
             co_await take_answer(*parser, facts);
--- a/libs/edge/caller_reply.cpp
+++ b/libs/edge/caller_reply.cpp
@@ -68,9 +68,9 @@
     head.status = answer.status;
     const auto reason = http::obsolete_reason(http::int_to_status(head.status));
     head.reason = std::string(reason.data(), reason.size());
-    head.headers =
-        adapter::own_answer_headers(answer.request, answer.retry_after) +
-        "Content-Type: application/json\r\n";
+    head.headers = adapter::encode_node_response_headers(answer.request,
+                                                         answer.retry_after) +
+                   "Content-Type: application/json\r\n";
     head.stated_length = std::to_string(body.size());
     const bool sent = co_await send_whole(head, body);
     co_return sent;
--- a/libs/edge/caller_server.cpp
+++ b/libs/edge/caller_server.cpp
@@ -242,7 +242,7 @@
     out.path = std::string(message.target());
     out.body = std::move(message.body());
     out.fields = std::move(message.base());
-    out.facts = adapter::read_request(out.fields);
+    out.facts = adapter::parse_request_headers(out.fields);
     co_return true;
 }
 
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -260,7 +260,7 @@
 {
     if (asked.path != adapter::entry_path)
         return {404, "text/plain", "no such path\n"};
-    const auto question = adapter::read_entry_question(asked.query);
+    const auto question = adapter::parse_entry_query(asked.query);
     entry_asker asker{question.data_center, question.region, {}};
     if (tables_.config)
         asker.regions = tables_.config->regions_of_host(question.host_name);
@@ -271,7 +271,7 @@
     const duration validity = std::min(options_.entry_validity,
                                        tables_.settings.entry_validity_limit);
     return {200, "application/json",
-            adapter::encode_entry_answer(addresses, validity)};
+            adapter::encode_entry_response(addresses, validity)};
 }
 
 void edge_node::update_gauges()
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -79,7 +79,7 @@
                          decision_options decide)
     : io(context), time(clock_used), random(seed), settings(std::move(given)),
       options(std::move(decide)), life(random.bits() >> 1),
-      lateness(settings.news_bound()),
+      lateness(settings.update_bound()),
       book(book_options(settings, options.book)),
       retries(retry_options(settings, options.retries)), poison({}),
       losses(settings.first_start, clock_used.now(),
@@ -137,7 +137,7 @@
 bool node_tables::targets_unconfirmed() const
 {
     const auto age = fleet_targets_freshness.age(now());
-    return !age || *age > settings.news_bound();
+    return !age || *age > settings.update_bound();
 }
 
 duration node_tables::queueing() const
--- a/libs/edge/platform_feed.cpp
+++ b/libs/edge/platform_feed.cpp
@@ -40,7 +40,7 @@
 
 mesh::news_limits limits_of(const node_tables& tables, mesh::news_size size)
 {
-    return mesh::news_limits_for(tables.settings.news_bound(), size);
+    return mesh::news_limits_for(tables.settings.update_bound(), size);
 }
 
 } // namespace
@@ -281,7 +281,7 @@
                                     const adapter::stored_object& object,
                                     const error& cause)
 {
-    tables_.unreadable.note(kind, object.name, object.changed, cause);
+    tables_.unreadable.note(kind, object.name, object.revision, cause);
 }
 
 /// A change without a name leaves open which entry isn't good any more: only
--- a/libs/edge/platform_feed_configuration.cpp
+++ b/libs/edge/platform_feed_configuration.cpp
@@ -77,7 +77,7 @@
     if (!news)
         co_return false;
     for (const adapter::object_event& it : news->value.events)
-        if (!it.gone)
+        if (!it.deleted)
             take_configuration(it.object);
     configuration_as_of_ = news->value.as_of;
     confirm_configuration(news->begun);
--- a/libs/edge/platform_feed_evacuations.cpp
+++ b/libs/edge/platform_feed_evacuations.cpp
@@ -74,7 +74,7 @@
     std::vector<catalog::evacuation_change> changes;
     for (const adapter::object_event& it : news->value.events) {
         if (is_data_center(it.object))
-            changes.push_back({data_center_id(it.object.name), !it.gone});
+            changes.push_back({data_center_id(it.object.name), !it.deleted});
         else
             list_soon(evacuations_);
     }
--- a/libs/edge/platform_feed_targets.cpp
+++ b/libs/edge/platform_feed_targets.cpp
@@ -31,13 +31,13 @@
         note_unreadable(unreadable_kind::target, object, entry.error());
         return std::nullopt;
     }
-    return catalog::target_change{entry->id, *entry, object.changed};
+    return catalog::target_change{entry->id, *entry, object.revision};
 }
 
 /// An entry that was good and turns unreadable is a removal; one that never
 /// was good is nothing, however often its writer changes it.
 std::vector<catalog::target_change>
-platform_feed::changes_of(const adapter::watch_answer& news)
+platform_feed::changes_of(const adapter::watch_response& news)
 {
     std::vector<catalog::target_change> out;
     const auto is_known = [&](const target_id& id) {
@@ -47,12 +47,12 @@
     };
     for (const adapter::object_event& it : news.events) {
         const target_id id(it.object.name);
-        const auto change = it.gone ? std::nullopt : target_of(it.object);
+        const auto change = it.deleted ? std::nullopt : target_of(it.object);
         if (change)
             out.push_back(*change);
         else if (id.empty())
             list_soon(targets_);
-        else if (it.gone || is_known(id))
+        else if (it.deleted || is_known(id))
             out.push_back({id, std::nullopt, news.as_of});
     }
     return out;
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -94,7 +94,7 @@
     void settle();
     void log_end(int number, std::string_view outcome, std::string_view reason);
     dispatch::work_wish wish() const;
-    adapter::passing_on order_for(const dispatch::choice& target) const;
+    adapter::forwarding_headers order_for(const dispatch::choice& target) const;
     duration time_left() const;
     duration whole_time() const;
     int urgency() const;
@@ -134,8 +134,8 @@
 duration request_run::whole_time() const
 {
     duration out = way_->timeout;
-    if (request_.facts.patience)
-        out = std::min(out, *request_.facts.patience);
+    if (request_.facts.timeout)
+        out = std::min(out, *request_.facts.timeout);
     return dispatch::time_at_node(out, queued_, request_.dialed);
 }
 
@@ -196,7 +196,7 @@
 tokens request_run::worst_case() const
 {
     return request_.facts.prompt_size.value_or(tokens(0)) +
-           request_.facts.longest_answer.value_or(tokens(0));
+           request_.facts.max_output_tokens.value_or(tokens(0));
 }
 
 awaitable<std::optional<refusal>> request_run::set_aside_tokens()
@@ -253,9 +253,10 @@
     return out;
 }
 
-adapter::passing_on request_run::order_for(const dispatch::choice& target) const
+adapter::forwarding_headers
+request_run::order_for(const dispatch::choice& target) const
 {
-    adapter::passing_on out;
+    adapter::forwarding_headers out;
     out.target = target.target;
     out.fetch_from = target.fetch_from;
     if (team_ != nullptr)
