--- a/libs/dispatch/carrier_table.cpp
+++ b/libs/dispatch/assignment_table.cpp
@@ -1,4 +1,4 @@
-#include "fennelladder/dispatch/carrier_table.hpp"
+#include "fennelladder/dispatch/assignment_table.hpp"
 
 #include "fennelladder/base/hash.hpp"
 
@@ -17,8 +17,8 @@
     return a.first != b.first ? a.first > b.first : *a.second < *b.second;
 }
 
-/// Ranks kept; targets come and go.
-constexpr std::size_t most_ranks = 4096;
+/// Bounds the cache of ranks, since targets come and go.
+constexpr std::size_t max_ranks = 4096;
 
 bool contains(const std::vector<host_id>& hosts, const host_id& host)
 {
@@ -27,12 +27,12 @@
 
 } // namespace
 
-carrier_table::carrier_table(host_id self, carrier_options options)
+assignment_table::assignment_table(host_id self, assignment_options options)
     : self_(std::move(self)), options_(options)
 {}
 
-void carrier_table::set_hosts(std::vector<host_id> first,
-                              std::vector<host_id> rest)
+void assignment_table::set_hosts(std::vector<host_id> first,
+                                 std::vector<host_id> rest)
 {
     if (first == first_ && rest == rest_)
         return;
@@ -43,12 +43,12 @@
     is_rest_ = contains(rest_, self_);
 }
 
-/// How many hosts come before this one for the target. Precondition: it is
-/// among them.
-std::size_t carrier_table::rank(const target_id& target) const
+/// How many hosts rank before this one for the target. Precondition: this host
+/// is in one of the two lists.
+std::size_t assignment_table::rank(const target_id& target) const
 {
     assert(is_first_ || is_rest_);
-    if (ranks_.size() >= most_ranks)
+    if (ranks_.size() >= max_ranks)
         ranks_.clear();
     const auto [it, is_new] = ranks_.try_emplace(target);
     if (is_new)
@@ -56,7 +56,7 @@
     return it->second;
 }
 
-std::size_t carrier_table::count_ahead(const target_id& target) const
+std::size_t assignment_table::count_ahead(const target_id& target) const
 {
     const std::uint64_t seed = hash64(target.str());
     const auto place_of = [&](const host_id& host) {
@@ -69,44 +69,46 @@
     return static_cast<std::size_t>(ahead) + (is_first_ ? 0 : first_.size());
 }
 
-std::uint32_t carrier_table::cold_share(const target_id& target,
-                                        std::uint32_t limit) const
+std::uint32_t assignment_table::cold_quota(const target_id& target,
+                                           std::uint32_t limit) const
 {
-    const auto planned = static_cast<std::size_t>(limit * options_.planned);
+    const auto planned =
+        static_cast<std::size_t>(limit * options_.planned_share);
     if (!is_first_ || planned == 0)
         return 0;
-    const std::size_t carriers =
-        std::min({options_.carriers, first_.size(), planned});
-    if (rank(target) >= carriers)
+    const std::size_t assigned =
+        std::min({options_.assigned_nodes, first_.size(), planned});
+    if (rank(target) >= assigned)
         return 0;
-    return static_cast<std::uint32_t>(planned / carriers);
+    return static_cast<std::uint32_t>(planned / assigned);
 }
 
-std::uint32_t carrier_table::limited_share(const target_id& target, double rate,
-                                           duration silence) const
+std::uint32_t assignment_table::limited_quota(const target_id& target,
+                                              double rate,
+                                              duration silence) const
 {
     if (!is_first_ && !is_rest_)
         return 0;
-    // One request in a span finds out whether the limit is over.
-    const double each_span = std::max(rate * to_seconds(limit_span), 1.0);
+    // At least one request per window, to detect the end of the limit.
+    const double each_span = std::max(rate * to_seconds(limit_window), 1.0);
     const auto planned = static_cast<std::size_t>(each_span);
-    const std::size_t carriers =
-        std::min(std::max(std::min(options_.carriers, planned),
-                          planned / options_.least_part),
+    const std::size_t assigned =
+        std::min(std::max(std::min(options_.assigned_nodes, planned),
+                          planned / options_.min_requests_per_node),
                  first_.size() + rest_.size());
     const std::size_t ahead = rank(target);
-    if (ahead < carriers)
-        return static_cast<std::uint32_t>(planned / carriers +
-                                          (ahead < planned % carriers ? 1 : 0));
+    if (ahead < assigned)
+        return static_cast<std::uint32_t>(planned / assigned +
+                                          (ahead < planned % assigned ? 1 : 0));
     const double spans =
-        std::max(to_seconds(silence) / to_seconds(limit_span), 0.0);
+        std::max(to_seconds(silence) / to_seconds(limit_window), 0.0);
     const auto more = static_cast<std::size_t>(each_span * spans / 4);
-    return ahead < carriers + more ? 1 : 0;
+    return ahead < assigned + more ? 1 : 0;
 }
 
 void recent_sends::note(instant now)
 {
-    while (!sends_.empty() && now - sends_.front() > limit_span)
+    while (!sends_.empty() && now - sends_.front() > limit_window)
         sends_.pop_front();
     sends_.push_back(now);
 }
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -10,17 +10,17 @@
 using telemetry::log_event;
 namespace event = telemetry::event;
 
-/// For this long after the platform came back, entries that are missing from
-/// its list may still return: targets write anew within two seconds.
-constexpr duration list_doubt = milliseconds(2500);
+/// For this long after the platform became reachable again, entries missing
+/// from its list may still return: targets rewrite theirs within two seconds.
+constexpr duration entry_return_window = milliseconds(2500);
 
-/// Until a node counts itself among the hosts that share a limit: by then it
-/// has heard of the others.
-constexpr duration acquaintance = seconds(3);
+/// Time after the start before a node takes a share of fleet-wide limits: by
+/// then it has heard from the other nodes.
+constexpr duration discovery_period = seconds(3);
 
-dispatch::target_book_options
-book_options(const adapter::host_settings& settings,
-             dispatch::target_book_options out)
+dispatch::target_registry_options
+registry_options(const adapter::host_settings& settings,
+                 dispatch::target_registry_options out)
 {
     out.self = settings.host;
     out.regions = settings.regions;
@@ -28,12 +28,12 @@
     return out;
 }
 
-/// Of a service without a rate nothing needs to be known.
-std::unordered_map<service_id, dispatch::cold_traits>
+/// Services without a cold rate are omitted.
+std::unordered_map<service_id, dispatch::cold_start_profile>
 cold_traits_of(const catalog::configuration& config,
                const adapter::host_settings& settings)
 {
-    std::unordered_map<service_id, dispatch::cold_traits> out;
+    std::unordered_map<service_id, dispatch::cold_start_profile> out;
     for (const catalog::service& it : config.parts().services) {
         const double limit =
             it.cold_rate * settings.cold_overage + settings.cold_slack;
@@ -43,9 +43,9 @@
     return out;
 }
 
-dispatch::retry_allowance_options
+dispatch::retry_budget_options
 retry_options(const adapter::host_settings& settings,
-              dispatch::retry_allowance_options out)
+              dispatch::retry_budget_options out)
 {
     out.share = settings.retry_share;
     out.slack = settings.retry_slack;
@@ -56,17 +56,17 @@
 } // namespace
 
 void log_signals(const target_id& target, const catalog::target_signals& said,
-                 const dispatch::signal_news& news, const std::string& by)
+                 const dispatch::signal_changes& changes, const std::string& by)
 {
-    if (news.leaving)
+    if (changes.leaving)
         log_event(event::target_leaving,
                   {{"target", target.str()}, {"by", by}});
-    if (news.rest)
+    if (changes.rest)
         log_event(event::target_rests,
                   {{"target", target.str()},
                    {"rest_ms", milliseconds_text(*said.rest)},
                    {"by", by}});
-    if (news.rate_limit)
+    if (changes.rate_limit)
         log_event(event::target_limited,
                   {{"target", target.str()},
                    {"rate", said.rate_limit ? std::to_string(*said.rate_limit)
@@ -76,15 +76,15 @@
 
 node_tables::node_tables(asio::io_context& context, const clock& clock_used,
                          adapter::host_settings given, std::uint64_t seed,
-                         decision_options decide)
+                         tuning_options tuning)
     : io(context), time(clock_used), random(seed), settings(std::move(given)),
-      options(std::move(decide)), life(random.bits() >> 1),
-      lateness(settings.news_bound()),
-      book(book_options(settings, options.book)),
+      options(std::move(tuning)), life(random.bits() >> 1),
+      lateness(settings.update_bound()),
+      registry(registry_options(settings, options.registry)),
       retries(retry_options(settings, options.retries)), poison({}),
       losses(settings.first_start, clock_used.now(),
-             {.acquaintance = acquaintance}),
-      nodes(settings.host, {}), pool(context, options.pool),
+             {.discovery_time = discovery_period}),
+      peers(settings.host, {}), pool(context, options.pool),
       started(clock_used.now())
 {}
 
@@ -102,12 +102,13 @@
         return mesh::node_state::leaving;
     if (!ready())
         return mesh::node_state::starting;
-    return news_are_late() ? mesh::node_state::late : mesh::node_state::ready;
+    return updates_are_late() ? mesh::node_state::late
+                              : mesh::node_state::ready;
 }
 
-bool node_tables::news_are_late() const
+bool node_tables::updates_are_late() const
 {
-    if (!options.minds_lateness)
+    if (!options.refuses_when_late)
         return false;
     const auto targets_age = targets_freshness.age(now());
     const auto configuration_age = configuration_freshness.age(now());
@@ -123,44 +124,45 @@
     return request_capacity(settings.cores, settings.link_bits_per_second);
 }
 
-/// This node's own contact says little: most nodes don't call the platform at
-/// all while others confirm their list, and one call may fail for many
-/// reasons. Entries lapse only while the platform itself is away, and then
-/// nobody's list is confirmed.
-bool node_tables::list_in_doubt() const
+/// Doesn't depend on this node's own calls to the platform: most nodes make
+/// none while others confirm their list, and a single call may fail for many
+/// reasons. Entries expire wrongly only while the platform itself is
+/// unreachable, and then no node's list is confirmed.
+bool node_tables::target_list_in_doubt() const
 {
-    const bool just_back =
-        targets_gap_ended && now() - *targets_gap_ended < list_doubt;
-    return just_back || targets_unconfirmed();
+    const bool just_confirmed =
+        confirmation_gap_ended &&
+        now() - *confirmation_gap_ended < entry_return_window;
+    return just_confirmed || targets_unconfirmed();
 }
 
 bool node_tables::targets_unconfirmed() const
 {
     const auto age = fleet_targets_freshness.age(now());
-    return !age || *age > settings.news_bound();
+    return !age || *age > settings.update_bound();
 }
 
-duration node_tables::queueing() const
+duration node_tables::queueing_delay() const
 {
-    return lateness.longest_delay(now()).value_or(duration(0));
+    return lateness.max_delay(now()).value_or(duration(0));
 }
 
-void node_tables::list_changed()
+void node_tables::update_target_registry()
 {
-    const bool in_doubt = list_in_doubt();
+    const bool in_doubt = target_list_in_doubt();
     targets_changed = now();
-    const auto replaced = book.sync(targets.entries(), in_doubt, now());
+    const auto replaced = registry.sync(targets.entries(), in_doubt, now());
     for (const catalog::target_entry& it : replaced)
-        pool.drop_idle({it.process(), it.address});
+        pool.close_idle({it.process(), it.address});
     log_event(event::targets_changed,
               {{"targets", std::to_string(targets.entries().size())},
                {"as_of", std::to_string(targets.as_of().value())},
                {"in_doubt", in_doubt ? "true" : "false"}});
 }
 
-bool node_tables::take_configuration(catalog::configuration_parts parts,
-                                     std::string text,
-                                     const std::string& source)
+bool node_tables::apply_configuration(catalog::configuration_parts parts,
+                                      std::string text,
+                                      const std::string& source)
 {
     if (config != nullptr && parts.version <= config->version())
         return false;
@@ -170,7 +172,7 @@
     configuration_announced.reset();
     config = std::make_shared<const catalog::configuration>(std::move(parts));
     config_text = std::move(text);
-    book.set_cold_traits(cold_traits_of(*config, settings));
+    registry.set_cold_start_profiles(cold_traits_of(*config, settings));
     tokens prepaid;
     for (const catalog::team& it : config->parts().teams)
         prepaid += it.prepaid.value_or(tokens(0));
@@ -185,44 +187,44 @@
     return true;
 }
 
-bool node_tables::take_evacuations(catalog::evacuation_state state,
-                                   const std::string& source)
+bool node_tables::apply_evacuations(catalog::evacuation_state state,
+                                    const std::string& source)
 {
     if (!evacuations.replace_all(std::move(state)))
         return false;
-    const auto& places = evacuations.state().data_centers;
-    const std::size_t back = book.set_evacuated(places, now());
+    const auto& evacuated = evacuations.state().data_centers;
+    const std::size_t returned = registry.set_evacuated(evacuated, now());
     std::string names;
-    for (const data_center_id& it : places)
+    for (const data_center_id& it : evacuated)
         names += (names.empty() ? "" : " ") + it.str();
     log_event(event::evacuations_changed,
               {{"data_centers", names},
                {"as_of", std::to_string(evacuations.as_of().value())},
-               {"targets_back", std::to_string(back)},
+               {"targets_back", std::to_string(returned)},
                {"source", source}});
     return true;
 }
 
-/// A node that hears nobody, though there are others, would take each limit for
-/// its own.
+/// A node that hears from no peer although there are others would otherwise
+/// claim each limit for itself.
 void node_tables::update_sharing_hosts()
 {
-    const bool is_acquainted = now() - started >= acquaintance &&
-                               (!nodes.rows().empty() || settings.is_alone());
-    if (!is_acquainted) {
-        book.set_carrier_hosts({});
+    const bool knows_peers = now() - started >= discovery_period &&
+                             (!peers.rows().empty() || settings.is_alone());
+    if (!knows_peers) {
+        registry.set_assignable_hosts({});
         retries.set_hosts(0, now());
         return;
     }
-    book.set_carrier_hosts(nodes.large_hosts(capacity()),
-                           nodes.small_hosts(capacity()));
-    retries.set_hosts(nodes.host_count(), now());
+    registry.set_assignable_hosts(peers.large_hosts(capacity()),
+                                  peers.small_hosts(capacity()));
+    retries.set_hosts(peers.host_count(), now());
 }
 
-duration node_tables::stock_word_lasts() const
+duration node_tables::stock_update_lifetime() const
 {
-    constexpr int beacons = 5;
-    return nodes.period() * beacons;
+    constexpr int heartbeats = 5;
+    return peers.period() * heartbeats;
 }
 
 catalog::configuration_version node_tables::version() const
@@ -252,10 +254,10 @@
 
 void node_tables::note_targets_confirmed(instant at)
 {
-    const bool was_old = targets_unconfirmed();
+    const bool was_unconfirmed = targets_unconfirmed();
     fleet_targets_freshness.confirm(at);
-    if (was_old && !targets_unconfirmed())
-        targets_gap_ended = now();
+    if (was_unconfirmed && !targets_unconfirmed())
+        confirmation_gap_ended = now();
 }
 
 void node_tables::confirm_evacuations(instant at)
@@ -264,16 +266,16 @@
         evacuations_freshness.confirm(at);
 }
 
-void node_tables::note_contact(bool reached, const std::string& detail)
+void node_tables::note_platform_contact(bool reached, const std::string& detail)
 {
-    if (reached != contact.reached) {
-        contact = {reached, now()};
+    if (reached != platform.reached) {
+        platform = {reached, now()};
         log_event(reached ? event::platform_well : event::platform_out,
                   {{"detail", detail}});
-        spread_news();
+        broadcast_update();
     }
     if (reached)
-        platform_answered();
+        on_platform_answer();
 }
 
 } // namespace fennelladder::edge
--- /dev/null
+++ b/libs/edge/token_allocator.cpp
@@ -0,0 +1,510 @@
+// The receiver of a transfer credits each transfer number once. The sender
+// deducts once per number and repeats the same grant if the request is
+// repeated. So no tokens are created by messages that are lost, duplicated or
+// delayed.
+
+#include "fennelladder/edge/token_allocator.hpp"
+
+#include "fennelladder/telemetry/log.hpp"
+
+#include <algorithm>
+#include <utility>
+
+namespace fennelladder::edge {
+
+namespace {
+
+using telemetry::log_event;
+namespace event = telemetry::event;
+
+/// Peers in the fleet answer in a few milliseconds. After this time the request
+/// goes to the next one.
+constexpr duration peer_timeout = milliseconds(15);
+
+/// Wait for tokens from the record. A write to it takes about ten milliseconds.
+constexpr duration record_timeout = milliseconds(30);
+
+/// Maximum requests to the record for one acquire(). The first may yield less
+/// than needed, since others are waiting as well. The number is limited because
+/// the end of each round of writes wakes all waiters, and each request starts a
+/// round.
+constexpr int max_record_requests = 3;
+
+/// How long transfer numbers are kept: longer than any datagram can be delayed.
+constexpr duration transfer_retention = seconds(30);
+
+/// The writer answers a token request for a waiting request within two writes,
+/// and one for stock after its next regular write, unless it is dead or
+/// unreachable.
+constexpr duration writer_timeout = milliseconds(500);
+constexpr duration writer_stock_timeout = milliseconds(2500);
+
+constexpr duration push_repeat_interval = milliseconds(60);
+
+} // namespace
+
+/// Counts a request as waiting during its lifetime. It shares ownership of the
+/// counts: requests that are still waiting when a node ends are destroyed with
+/// the io_context that holds their coroutines, after the allocator. Counts
+/// owned by the allocator would be gone by then, and the access would free them
+/// twice.
+class token_allocator::waiting_request
+{
+public:
+    waiting_request(std::shared_ptr<waiting_counts> counts, const team_id& team)
+        : counts_(std::move(counts)), team_(team)
+    {
+        ++(*counts_)[team_];
+    }
+
+    waiting_request(const waiting_request&) = delete;
+    waiting_request& operator=(const waiting_request&) = delete;
+
+    ~waiting_request()
+    {
+        const auto it = counts_->find(team_);
+        if (--it->second == 0)
+            counts_->erase(it);
+    }
+
+private:
+    std::shared_ptr<waiting_counts> counts_;
+    team_id team_;
+};
+
+token_allocator::token_allocator(node_tables& tables, platform_client& client,
+                                 sender send)
+    : tables_(tables), send_(std::move(send)),
+      ration_(tables.options.urgency_reserve),
+      refiller_(tables, client, peers_,
+                {.on_credited = [this] { answer_pending(instant()); },
+                 .on_round_done =
+                     [this](instant begun) {
+                         answer_pending(begun);
+                         check_writer_timeout();
+                         forget_expired();
+                     },
+                 .request_tokens =
+                     [this](const host_id& writer, const team_id& team,
+                            tokens amount) {
+                         send_request(
+                             writer,
+                             {.team = team, .wanted = amount, .patient = true});
+                     }})
+{}
+
+void token_allocator::start()
+{
+    refiller_.start();
+}
+
+void token_allocator::wake_waiters()
+{
+    for (const auto& it : waiters_)
+        if (const auto timer = it.lock())
+            timer->cancel();
+    waiters_.clear();
+}
+
+awaitable<void> token_allocator::wait_for_change(instant until)
+{
+    const duration left = until - tables_.now();
+    if (left <= duration(0))
+        co_return;
+    auto timer = std::make_shared<asio::steady_timer>(tables_.io);
+    waiters_.push_back(timer);
+    co_await sleep_on(*timer, left);
+}
+
+// Reservations.
+
+awaitable<shortage> token_allocator::acquire(const team_id& team, tokens amount,
+                                             int urgency, instant until)
+{
+    const auto* payer = tables_.config->find_team(team);
+    if (payer == nullptr || !payer->prepaid || *payer->prepaid < amount)
+        co_return shortage::exceeds_prepaid;
+    ration_.note(team, urgency, amount, tables_.now());
+    const waiting_request here(waiting_by_team_, team);
+    std::set<host_id> tried;
+    std::optional<record_request> asked;
+    int record_requests = 0;
+    while (!reserve(team, amount, urgency)) {
+        if (tables_.now() >= until)
+            co_return shortage_of(team);
+        const auto peer = choose_peer(team, tried);
+        const tokens missing = missing_of(team, amount, urgency);
+        const tokens wanted = missing + extra_request(team);
+        duration pause = peer_timeout;
+        if (peer) {
+            tried.insert(*peer);
+            send_request(*peer,
+                         {.team = team, .wanted = wanted, .urgency = urgency});
+        } else if (asked && !is_done(*asked)) {
+            pause = until - tables_.now();
+        } else if (record_requests == 0 ||
+                   (record_requests < max_record_requests &&
+                    !cannot_be_withdrawn(team, missing))) {
+            // Peers may have received tokens meanwhile: ask them again.
+            ++record_requests;
+            tried.clear();
+            asked = request_from_record(team, wanted, urgency);
+            pause = record_timeout;
+        } else {
+            co_return shortage_of(team);
+        }
+        co_await wait_for_change(std::min(tables_.now() + pause, until));
+    }
+    co_return shortage::none;
+}
+
+/// Tokens kept back for more urgent requests, while the platform is unreachable
+/// or has none left for the team, so that the remaining ones last.
+tokens token_allocator::reserved_for_urgent(const team_id& team,
+                                            int urgency) const
+{
+    return refiller_.is_scarce(team)
+               ? ration_.kept_back(team, urgency, tables_.now())
+               : tokens(0);
+}
+
+bool token_allocator::reserve(const team_id& team, tokens amount, int urgency)
+{
+    if (tables_.token_balances.free_of(team) - amount <
+        reserved_for_urgent(team, urgency))
+        return false;
+    return tables_.token_balances.reserve(team, amount, tables_.now());
+}
+
+/// Deducts from the balance what a peer may be granted of its request.
+tokens token_allocator::debit(const mesh::token_request& request)
+{
+    const tokens free = tables_.token_balances.free_of(request.team);
+    const tokens spare =
+        free - reserved_for_urgent(request.team, request.urgency);
+    return tables_.token_balances.debit(
+        request.team, std::clamp(spare, tokens(0), request.wanted));
+}
+
+/// Tokens to request from others. The free tokens are subtracted only if no
+/// other request of the team is waiting: several requests would each count the
+/// same free tokens as their own, and together request too little.
+tokens token_allocator::missing_of(const team_id& team, tokens amount,
+                                   int urgency) const
+{
+    const auto waiting = waiting_by_team_->find(team);
+    const bool alone =
+        waiting == waiting_by_team_->end() || waiting->second <= 1;
+    const tokens spare = tables_.token_balances.free_of(team) -
+                         reserved_for_urgent(team, urgency);
+    return alone ? amount - std::max(spare, tokens(0)) : amount;
+}
+
+tokens token_allocator::extra_request(const team_id& team) const
+{
+    const tokens left =
+        refiller_.is_scarce(team) ? tokens(0) : refiller_.left_of(team);
+    return prepaid::extra_to_request(
+        tables_.token_balances.spending(team, tables_.now()), left,
+        tables_.options.stock);
+}
+
+/// Requests tokens from the record, on this node or from the node that writes
+/// it.
+token_allocator::record_request
+token_allocator::request_from_record(const team_id& team, tokens missing,
+                                     int urgency)
+{
+    const mesh::peer_record* writer = refiller_.remote_writer();
+    if (writer == nullptr)
+        return {.round = refiller_.request_tokens(team, missing, false)};
+    if (!tables_.options.requests_peer_tokens)
+        return {};
+    return {.number = send_request(
+                writer->last.host,
+                {.team = team, .wanted = missing, .urgency = urgency})};
+}
+
+bool token_allocator::is_done(const record_request& pending) const
+{
+    if (pending.number)
+        return !outstanding_.contains(*pending.number);
+    return !pending.round || refiller_.is_round_done(*pending.round);
+}
+
+/// Whether the record cannot provide the missing tokens.
+bool token_allocator::cannot_be_withdrawn(const team_id& team,
+                                          tokens missing) const
+{
+    return !refiller_.reaches_platform() || refiller_.left_of(team) < missing;
+}
+
+shortage token_allocator::shortage_of(const team_id& team) const
+{
+    return refiller_.is_scarce(team) ? shortage::indefinite
+                                     : shortage::temporary;
+}
+
+void token_allocator::settle(const team_id& team, tokens reserved, tokens used)
+{
+    tables_.token_balances.settle(team, reserved, used, tables_.now());
+    if (used < reserved)
+        wake_waiters();
+}
+
+// Transfers between nodes.
+
+std::optional<host_id>
+token_allocator::choose_peer(const team_id& team,
+                             const std::set<host_id>& tried) const
+{
+    if (!tables_.options.requests_peer_tokens)
+        return std::nullopt;
+    const instant since = tables_.now() - tables_.stock_update_lifetime();
+    if (auto best = peers_.largest_holder(team, tried, since))
+        return best;
+    // No peer is known to have any; a stock holder may have received some
+    // since.
+    for (const host_id& it : refiller_.stock_holders(team))
+        if (!tried.contains(it) && tables_.peers.rows().contains(it))
+            return it;
+    return std::nullopt;
+}
+
+std::string token_allocator::address_of(const host_id& host) const
+{
+    const auto it = tables_.peers.rows().find(host);
+    return it == tables_.peers.rows().end() ? std::string()
+                                            : it->second.last.peer_address;
+}
+
+/// Sends `what` to a peer under the next transfer number.
+mesh::transfer_number token_allocator::send_request(const host_id& peer,
+                                                    mesh::token_request what)
+{
+    last_number_ = last_number_.next();
+    what.life = tables_.life;
+    what.number = last_number_;
+    outstanding_[last_number_] = {what.team, peer, tables_.now(), what.patient};
+    peers_.deduct(peer, what.team, what.wanted);
+    mesh::datagram message;
+    message.request = std::move(what);
+    send_(address_of(peer), message);
+    return last_number_;
+}
+
+void token_allocator::on_token_request(const mesh::token_request& request,
+                                       const std::string& from)
+{
+    const transfer_key key{request.life, request.number};
+    const auto known = grants_sent_.find(key);
+    if (known != grants_sent_.end()) {
+        mesh::datagram again;
+        again.grant = known->second.first;
+        send_(from, again);
+        return;
+    }
+    const bool waits =
+        std::ranges::any_of(pending_, [&](const pending_request& it) {
+            return it.request.life == request.life &&
+                   it.request.number == request.number;
+        });
+    if (waits)
+        return;
+    if (!request.patient)
+        ration_.note(request.team, request.urgency, request.wanted,
+                     tables_.now());
+    const tokens free = tables_.token_balances.free_of(request.team);
+    if (free < request.wanted && refiller_.can_withdraw(request.team)) {
+        pending_.push_back({request, from, tables_.now()});
+        refiller_.request_tokens(request.team, request.wanted - free,
+                                 request.patient);
+        return;
+    }
+    // Two nodes short of tokens would send the same tokens back and forth.
+    const bool none_to_spare = waiting_by_team_->contains(request.team) &&
+                               refiller_.remote_writer() != nullptr;
+    send_grant(request, from, none_to_spare ? tokens(0) : debit(request));
+}
+
+/// Answers pending requests that can be granted in full now, and those made
+/// before `begun` with what is available.
+void token_allocator::answer_pending(instant begun)
+{
+    std::vector<pending_request> left;
+    for (pending_request& it : std::exchange(pending_, {})) {
+        const tokens free = tables_.token_balances.free_of(it.request.team);
+        if (free >= it.request.wanted || it.at <= begun)
+            send_grant(it.request, it.from, debit(it.request));
+        else
+            left.push_back(std::move(it));
+    }
+    pending_ = std::move(left);
+    wake_waiters();
+}
+
+/// Reports a writer that does not answer. It is dead, or unreachable from this
+/// node, which other nodes may notice later.
+void token_allocator::check_writer_timeout()
+{
+    const mesh::peer_record* writer = refiller_.remote_writer();
+    if (writer == nullptr)
+        return;
+    const instant now = tables_.now();
+    const instant heard = last_grant_from_[writer->last.host];
+    const bool silent = std::ranges::any_of(outstanding_, [&](const auto& it) {
+        const outstanding_request& what = it.second;
+        const duration timeout =
+            what.patient ? writer_stock_timeout : writer_timeout;
+        return what.peer == writer->last.host && what.at > heard &&
+               now - what.at > timeout;
+    });
+    if (silent)
+        refiller_.on_writer_timeout();
+}
+
+void token_allocator::send_grant(const mesh::token_request& request,
+                                 const std::string& from, tokens amount)
+{
+    mesh::datagram message;
+    message.grant = {request.life, request.number, request.team, amount,
+                     refiller_.allotted_of(request.team)};
+    grants_sent_[{request.life, request.number}] = {*message.grant,
+                                                    tables_.now()};
+    send_(from, message);
+    if (amount > tokens(0))
+        log_event(
+            event::tokens_moved,
+            {{"team", request.team.str()},
+             {"amount", std::to_string(amount.count())},
+             {"to", from},
+             {"left",
+              std::to_string(
+                  tables_.token_balances.free_of(request.team).count())}});
+}
+
+void token_allocator::on_token_grant(const mesh::token_grant& grant)
+{
+    const auto it = outstanding_.find(grant.number);
+    const bool ours = grant.life == tables_.life && it != outstanding_.end() &&
+                      it->second.team == grant.team;
+    if (!ours)
+        return;
+    last_grant_from_[it->second.peer] = tables_.now();
+    outstanding_.erase(it);
+    if (grant.allotted)
+        refiller_.raise_allotted(grant.team, *grant.allotted);
+    tables_.token_balances.credit(grant.team, grant.amount);
+    wake_waiters();
+}
+
+void token_allocator::on_token_push(const mesh::token_push& push,
+                                    const std::string& from)
+{
+    const auto key = std::make_pair(push.life, push.number);
+    if (pushes_received_.emplace(key, tables_.now()).second) {
+        tables_.token_balances.credit(push.team, push.amount);
+        log_event(event::tokens_moved,
+                  {{"team", push.team.str()},
+                   {"amount", std::to_string(push.amount.count())},
+                   {"from", from}});
+        wake_waiters();
+    }
+    mesh::datagram message;
+    message.push_ack = {push.life, push.number};
+    send_(from, message);
+}
+
+void token_allocator::on_push_acknowledged(const mesh::token_push_ack& taken)
+{
+    if (taken.life == tables_.life)
+        pushes_.erase(taken.number);
+}
+
+void token_allocator::on_heartbeat(const mesh::node_heartbeat& from)
+{
+    peers_.on_heartbeat(from, tables_.now());
+}
+
+void token_allocator::on_node_death(const host_id& host)
+{
+    const auto lost = peers_.forget(host);
+    if (lost.empty())
+        return;
+    tokens total;
+    for (const mesh::token_stock& it : lost)
+        total += it.free;
+    log_event(event::tokens_lost, {{"node", host.str()},
+                                   {"teams", std::to_string(lost.size())},
+                                   {"amount", std::to_string(total.count())}});
+}
+
+std::vector<mesh::token_stock> token_allocator::local_stock() const
+{
+    std::vector<mesh::token_stock> out;
+    const instant now = tables_.now();
+    for (const auto& [team, it] : tables_.token_balances.holdings()) {
+        const tokens spending(static_cast<std::int64_t>(
+            tables_.token_balances.spending(team, now)));
+        if (it.free > tokens(0) || spending > tokens(0))
+            out.push_back({team, it.free, spending});
+    }
+    return out;
+}
+
+/// Repeats a push until it is acknowledged, always to the same node: two nodes
+/// could both credit it.
+awaitable<void> token_allocator::repeat_push(mesh::token_push push,
+                                             std::string to, instant until)
+{
+    asio::steady_timer timer(tables_.io);
+    while (pushes_.contains(push.number) && tables_.now() < until) {
+        mesh::datagram message;
+        message.push = push;
+        send_(to, message);
+        co_await sleep_on(timer, push_repeat_interval);
+    }
+}
+
+awaitable<void> token_allocator::push_all(duration limit)
+{
+    const instant until = tables_.now() + limit;
+    for (const mesh::token_stock& it : local_stock()) {
+        if (it.free == tokens(0))
+            continue;
+        std::string taker;
+        for (const host_id& host : refiller_.stock_holders(it.team))
+            if (taker.empty() && host != tables_.settings.host)
+                taker = address_of(host);
+        if (taker.empty())
+            continue;
+        last_number_ = last_number_.next();
+        const mesh::token_push push{tables_.life, last_number_, it.team,
+                                    tables_.token_balances.debit_all(it.team)};
+        pushes_[last_number_] = push;
+        spawn(tables_.io, repeat_push(push, taker, until));
+    }
+    asio::steady_timer timer(tables_.io);
+    while (!pushes_.empty() && tables_.now() < until)
+        co_await sleep_on(timer, push_repeat_interval / 3);
+    for (const auto& [number, push] : pushes_)
+        log_event(event::tokens_stranded,
+                  {{"team", push.team.str()},
+                   {"amount", std::to_string(push.amount.count())}});
+}
+
+void token_allocator::forget_expired()
+{
+    const instant now = tables_.now();
+    std::erase_if(outstanding_, [&](const auto& it) {
+        return now - it.second.at > transfer_retention;
+    });
+    std::erase_if(grants_sent_, [&](const auto& it) {
+        return now - it.second.second > transfer_retention;
+    });
+    std::erase_if(pushes_received_, [&](const auto& it) {
+        return now - it.second > transfer_retention;
+    });
+}
+
+} // namespace fennelladder::edge
