--- a/libs/prepaid/allotment_record.cpp
+++ b/libs/prepaid/allotment_record.cpp
@@ -97,17 +97,21 @@
     const nlohmann::json* teams = object_of(content, teams_field);
     const nlohmann::json* writers = object_of(content, writers_field);
     if (teams == nullptr || writers == nullptr)
-        return fail(error_code::corrupt, "not a record of allotments");
+        return fail(error_code::corrupt,
+                    "allotment record: no object with teams and writers");
     allotment_record out;
     for (const auto& [team, it] : teams->items()) {
         const auto amount = amount_of(it);
         if (!amount)
-            return fail(error_code::corrupt, "amount of team " + team);
+            return fail(error_code::corrupt,
+                        "allotment record: invalid amount of team " + team);
         out.allotted[team_id(team)] = *amount;
     }
     for (const auto& [host, mark] : writers->items()) {
         if (!mark.is_string())
-            return fail(error_code::corrupt, "last write of host " + host);
+            return fail(error_code::corrupt,
+                        "allotment record: last write of host " + host +
+                            " is not a string");
         out.last_write[host_id(host)] = mark.get<write_id>();
     }
     return out;
--- a/libs/prepaid/allotment_record_test.cpp
+++ b/libs/prepaid/allotment_record_test.cpp
@@ -14,7 +14,7 @@
 const host_id one("one");
 const host_id two("two");
 
-/// The platform's object: takes a write only at the revision it was made for.
+/// The platform's object: accepts a write only at the revision it expects.
 struct store
 {
     allotment_record record;
@@ -34,7 +34,7 @@
 
 TEST_GROUP(allotment_record){};
 
-TEST(allotment_record, hands_out_no_more_than_was_prepaid)
+TEST(allotment_record, allots_at_most_the_prepaid_tokens)
 {
     const token_amounts prepaid{{team, tokens(100)}};
     auto draft = draft_allotment({}, prepaid, {{team, tokens(70)}}, one, "a.1");
@@ -48,29 +48,29 @@
     CHECK(unallotted(draft.record, prepaid, team) == tokens(0));
 }
 
-TEST(allotment_record, a_team_that_is_not_prepaid_gets_none)
+TEST(allotment_record, allots_nothing_to_a_team_without_prepaid_tokens)
 {
     const auto draft = draft_allotment({}, {}, {{team, tokens(5)}}, one, "a.1");
     CHECK(draft.granted.empty());
 }
 
-// Story: two nodes write to the record; replies are lost, and writes that got
-// no reply take effect later, or never. Each node credits what the record
-// proves, and nothing else. However it goes, what both hold together never
-// exceeds what was prepaid, nor what the record says was handed out.
-TEST(allotment_record, lost_replies_and_late_writes_make_no_tokens)
+// Two nodes write to the record. Replies are lost, and writes without a reply
+// take effect later or never. Each node credits only what the record proves;
+// together they must never hold more than was prepaid, nor more than the record
+// says was allotted.
+TEST(allotment_record, lost_replies_and_late_writes_create_no_tokens)
 {
     struct pending
     {
         allotment_draft draft;
-        write_id mark;
+        write_id id;
         int expected = 0;
     };
     struct node
     {
         host_id host;
         tokens held;
-        std::optional<pending> doubt;
+        std::optional<pending> in_doubt;
         int writes = 0;
     };
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -78,44 +78,45 @@
         store platform;
         token_amounts prepaid{{team, tokens(10'000)}};
         std::vector<node> nodes{{.host = one}, {.host = two}};
-        std::vector<pending> late;
+        std::vector<pending> delayed;
         for (int step = 0; step < 400; ++step) {
             if (random.chance(0.02))
                 prepaid[team] += tokens(500);
-            if (!late.empty() && random.chance(0.3)) {
-                platform.write(late.back().draft.record, late.back().expected);
-                late.pop_back();
+            if (!delayed.empty() && random.chance(0.3)) {
+                platform.write(delayed.back().draft.record,
+                               delayed.back().expected);
+                delayed.pop_back();
             }
             node& it = nodes[random.below(2)];
-            if (it.doubt) {
-                if (contains_write(platform.record, it.host, it.doubt->mark)) {
-                    it.held += it.doubt->draft.granted.at(team);
-                    it.doubt.reset();
-                } else if (platform.revision != it.doubt->expected) {
-                    it.doubt.reset();
+            if (it.in_doubt) {
+                if (contains_write(platform.record, it.host, it.in_doubt->id)) {
+                    it.held += it.in_doubt->draft.granted.at(team);
+                    it.in_doubt.reset();
+                } else if (platform.revision != it.in_doubt->expected) {
+                    it.in_doubt.reset();
                 }
                 continue;
             }
             pending wanted;
-            wanted.mark = it.host.str() + "." + std::to_string(++it.writes);
+            wanted.id = it.host.str() + "." + std::to_string(++it.writes);
             wanted.expected = platform.revision;
             wanted.draft = draft_allotment(
                 platform.record, prepaid,
                 {{team,
                   tokens(static_cast<std::int64_t>(1 + random.below(300)))}},
-                it.host, wanted.mark);
+                it.host, wanted.id);
             if (wanted.draft.granted.empty())
                 continue;
-            const std::uint64_t fate = random.below(4);
-            if (fate == 0) {
-                it.doubt = wanted; // never arrives
-            } else if (fate == 1) {
-                it.doubt = wanted;
-                late.push_back(wanted);
+            const std::uint64_t outcome = random.below(4);
+            if (outcome == 0) {
+                it.in_doubt = wanted; // never arrives
+            } else if (outcome == 1) {
+                it.in_doubt = wanted;
+                delayed.push_back(wanted);
             } else {
                 platform.write(wanted.draft.record, wanted.expected);
-                if (fate == 2)
-                    it.doubt = wanted;
+                if (outcome == 2)
+                    it.in_doubt = wanted;
                 else
                     it.held += wanted.draft.granted.at(team);
             }
@@ -126,7 +127,7 @@
     }
 }
 
-TEST(allotment_record, survives_its_spelling)
+TEST(allotment_record, json_round_trip_and_rejection_of_invalid_json)
 {
     const auto draft = draft_allotment({}, {{team, tokens(100)}},
                                        {{team, tokens(70)}}, one, "a.1");
--- a/libs/prepaid/failing_fleet.hpp
+++ b/libs/prepaid/failing_fleet.hpp
@@ -1,7 +1,7 @@
-// A model of a fleet that keeps its stock filled up while its nodes die: one
-// team, stock spread evenly.
+// A model of a fleet that refills its stock while its nodes die: one team,
+// whose stock is spread evenly over the nodes.
 //
-//     mortal_fleet it({{8, 0.6}, {34, 1}}, 5);
+//     failing_fleet it({{8, 0.6}, {34, 1}}, 5);
 //     it.run(50);
 //     it.lost_share();
 
@@ -21,29 +21,29 @@
 struct death
 {
     double at_s;
-    double share; ///< Of the nodes, and so of the stock.
+    double share; ///< Of the nodes, and hence of the stock.
 };
 
-/// The team prepays for 60 s of its spending.
-class mortal_fleet
+/// The team has prepaid 60 s of its spending.
+class failing_fleet
 {
 public:
-    mortal_fleet(std::vector<death> deaths, double outage_s)
+    failing_fleet(std::vector<death> deaths, double outage_s)
         : deaths_(std::move(deaths)), outage_s_(outage_s)
     {}
 
-    /// Runs for `length_s`; the platform is away from 17 s on.
+    /// Runs for `length_s`; the platform becomes unreachable at 17 s.
     void run(double length_s)
     {
         for (now_ = 0; now_ < length_s; now_ += step_s) {
-            die();
+            apply_deaths();
             refill();
             spend();
         }
     }
 
     double lost_share() const { return lost_ / prepaid; }
-    double served_share() const { return spent_ / asked_; }
+    double served_share() const { return spent_ / wanted_; }
 
 private:
     static constexpr double step_s = 0.25;
@@ -57,17 +57,17 @@
         return now_ < 17 || now_ >= 17 + outage_s_;
     }
 
-    void die()
+    void apply_deaths()
     {
         while (!deaths_.empty() && now_ >= deaths_.front().at_s) {
             lost_ += stock_ * deaths_.front().share;
             stock_ -= stock_ * deaths_.front().share;
-            remember(deaths_.front().share);
+            record_loss(deaths_.front().share);
             deaths_.erase(deaths_.begin());
         }
     }
 
-    void remember(double share)
+    void record_loss(double share)
     {
         if (share == 1) {
             outages_ = outage_tracker();
@@ -83,7 +83,7 @@
     {
         const double wanted = spending * step_s;
         const double got = std::min(wanted, stock_);
-        asked_ += wanted;
+        wanted_ += wanted;
         spent_ += got;
         stock_ -= got;
     }
@@ -114,7 +114,7 @@
     double stock_ = 0;
     double spent_ = 0;
     double lost_ = 0;
-    double asked_ = 0;
+    double wanted_ = 0;
 };
 
 } // namespace fennelladder::prepaid
--- a/libs/prepaid/loss_tracker_test.cpp
+++ b/libs/prepaid/loss_tracker_test.cpp
@@ -14,14 +14,14 @@
 
 TEST_GROUP(loss_tracker){};
 
-TEST(loss_tracker, the_first_start_follows_no_loss)
+TEST(loss_tracker, first_start_assumes_no_loss)
 {
     const loss_tracker it(true, start);
     DOUBLES_EQUAL(0, it.at(start), 1e-9);
     DOUBLES_EQUAL(0, *it.known(start), 1e-9);
 }
 
-TEST(loss_tracker, deaths_add_up_and_fade)
+TEST(loss_tracker, deaths_add_up_and_decay)
 {
     loss_tracker it(true, start);
     for (int i = 0; i < 6; ++i)
@@ -30,8 +30,9 @@
     DOUBLES_EQUAL(0.3, it.at(start + minutes(5)), 1e-9);
 }
 
-// Guards against nodes that all died, and stock as if nothing had happened.
-TEST(loss_tracker, where_nobody_is_older_all_died)
+// All nodes died: those that start afterwards must not stock as if nothing had
+// been lost.
+TEST(loss_tracker, without_older_nodes_assumes_total_loss)
 {
     const loss_tracker it(false, start);
     DOUBLES_EQUAL(1, it.at(start), 1e-9);
@@ -40,8 +41,8 @@
     DOUBLES_EQUAL(0.5, it.at(start + minutes(5)), 1e-9);
 }
 
-// Guards against a rolling restart that counts as the loss of all nodes.
-TEST(loss_tracker, an_older_node_knows_better)
+// A rolling restart must not count as the loss of all nodes.
+TEST(loss_tracker, estimate_of_older_node_replaces_assumption)
 {
     loss_tracker it(false, start);
     it.merge_peer(0, start + seconds(1));
@@ -49,7 +50,7 @@
     DOUBLES_EQUAL(0, *it.known(start + seconds(1)), 1e-9);
 }
 
-TEST(loss_tracker, the_most_that_is_remembered_counts)
+TEST(loss_tracker, largest_reported_loss_counts)
 {
     loss_tracker it(false, start);
     it.note_death(8, start);
--- a/libs/prepaid/outage_tracker_test.cpp
+++ b/libs/prepaid/outage_tracker_test.cpp
@@ -15,8 +15,8 @@
 {
     outage_tracker outages;
 
-    /// From `from` to `to`, in seconds.
-    void away(int from, int to)
+    /// The platform is unreachable from second `from` to second `to`.
+    void unreachable(int from, int to)
     {
         outages.note(true, start + seconds(from) - milliseconds(1));
         for (int at = from; at < to; ++at)
@@ -32,31 +32,31 @@
     }
 };
 
-TEST(outage_tracker, the_longest_counts)
+TEST(outage_tracker, returns_the_longest_outage)
 {
     LONGS_EQUAL(0, longest_at(0));
-    away(5, 13);
-    away(20, 23);
+    unreachable(5, 13);
+    unreachable(20, 23);
     LONGS_EQUAL(8, longest_at(30));
 }
 
-TEST(outage_tracker, one_that_lasts_counts_as_it_grows)
+TEST(outage_tracker, outage_in_progress_counts)
 {
     outages.note(false, start);
     LONGS_EQUAL(0, longest_at(0));
     LONGS_EQUAL(6, longest_at(6));
 }
 
-TEST(outage_tracker, a_failed_call_is_no_outage)
+TEST(outage_tracker, a_single_failed_call_is_no_outage)
 {
     outages.note(false, start);
     outages.note(true, start + milliseconds(900));
     LONGS_EQUAL(0, longest_at(1));
 }
 
-TEST(outage_tracker, what_is_long_ago_is_forgotten)
+TEST(outage_tracker, outages_expire)
 {
-    away(0, 8);
+    unreachable(0, 8);
     LONGS_EQUAL(8, longest_at(600));
     LONGS_EQUAL(0, longest_at(700));
 }
