--- a/include/fennelladder/dispatch/attempt_policy.hpp
+++ b/include/fennelladder/dispatch/attempt_policy.hpp
@@ -59,15 +59,15 @@
 };
 
 /// How long a request may take at this node, from when it is read to its final
-/// answer. `patience` is the caller's timeout, counted from when it began to
-/// contact this host; `queueing` is the delay of the host's link each way. The
-/// request has passed the link, as did the two packets of its connection if
-/// that was `dialed` for it; its answer has yet to pass. At 0 or below, no
+/// answer. `timeout` is the caller's, counted from when it began to contact
+/// this host; `queueing` is the delay of the host's link each way. The request
+/// has passed the link already, as did the two packets that set up its
+/// connection if that is new; its answer has yet to pass. At 0 or below, no
 /// answer arrives in time.
-constexpr duration time_at_node(duration patience, duration queueing,
-                                bool dialed)
+constexpr duration time_at_node(duration timeout, duration queueing,
+                                bool is_new_connection)
 {
-    return patience - (dialed ? 4 : 2) * queueing;
+    return timeout - (is_new_connection ? 4 : 2) * queueing;
 }
 
 enum class next_action : std::uint8_t
--- a/include/fennelladder/dispatch/poison_list.hpp
+++ b/include/fennelladder/dispatch/poison_list.hpp
@@ -1,10 +1,10 @@
 // Quarantine of requests that were running at several targets when these died;
 // such a request is sent to no target any more.
 //
-//     if (list.is_poison(mark, now))
+//     if (list.is_poison(fingerprint, now))
 //         ... refuse ...
-//     list.note_death(mark, target, now);     // it ran there as that died
-//     for (const poison_record& it : list.recent(span, limit, now))
+//     list.note_death(fingerprint, target, now);     // it ran there as that
+//     died for (const poison_record& it : list.recent(span, limit, now))
 //         ... send to the other nodes ...
 //     list.merge(record, now);                // received from another node
 //
@@ -67,12 +67,12 @@
 public:
     explicit poison_list(poison_list_options options);
 
-    bool is_poison(request_fingerprint mark, instant now) const;
+    bool is_poison(request_fingerprint fingerprint, instant now) const;
 
     /// The process died while the request ran there. Returns whether the death
     /// is new. A death without a start time (reported by nodes of earlier
     /// releases) matches any known death of the id.
-    bool note_death(request_fingerprint mark,
+    bool note_death(request_fingerprint fingerprint,
                     const catalog::target_process& target, instant now);
 
     /// Merges another node's record. Returns whether it holds a new death.
@@ -89,7 +89,7 @@
         instant last;
     };
 
-    void forget(instant now);
+    void evict(instant now);
 
     poison_list_options options_;
     std::unordered_map<request_fingerprint, entry> entries_;
--- a/include/fennelladder/dispatch/target_registry.hpp
+++ b/include/fennelladder/dispatch/target_registry.hpp
@@ -75,7 +75,7 @@
 
 namespace fennelladder::dispatch {
 
-/// A part of a prompt that several requests share.
+/// A part of a prompt, usually shared by several requests.
 struct shared_part
 {
     std::uint64_t id = 0;
@@ -100,6 +100,7 @@
     std::uint32_t reading = 0; ///< Prompt tokens to prefill.
 };
 
+/// A target chosen for a request.
 struct choice
 {
     target_id target;
@@ -137,13 +138,14 @@
 /// target is to being eligible.
 enum class no_target_reason : std::uint8_t
 {
-    none_usable,     ///< None is listed, or all are gone, or were tried.
-    leaving,         ///< The others announced that they are leaving.
-    outside_regions, ///< The others are outside the regions allowed.
-    evacuated,       ///< The data centres of the others are evacuated.
-    cold,            ///< The others are cold, and this node's quota is used up.
-    backing_off,     ///< The others asked this node for backoff.
-    limited          ///< The others announced limits; the quota is used up.
+    /// No target is listed, or it is gone or was tried already.
+    none_usable,
+    leaving,         ///< It announced that it is leaving.
+    outside_regions, ///< Its region isn't allowed.
+    evacuated,       ///< Its data centre is evacuated.
+    cold,            ///< It is cold, and this node's quota is used up.
+    backing_off,     ///< It asked this node for backoff.
+    limited          ///< It announced a limit; this node's quota is used up.
 };
 
 std::string_view to_string(no_target_reason value);
@@ -152,7 +154,7 @@
 struct cold_start_profile
 {
     duration warm_up{0};     ///< How long a target is cold after its start.
-    std::uint32_t limit = 0; ///< Requests in any one second, from all nodes.
+    std::uint32_t limit = 0; ///< Requests in any second, from all nodes.
 };
 
 /// How many requests a node has running at a target.
--- a/include/fennelladder/prepaid/loss_tracker.hpp
+++ b/include/fennelladder/prepaid/loss_tracker.hpp
@@ -60,7 +60,7 @@
 private:
     loss_tracker_options options_;
     instant started_;
-    bool assumes_total_loss_; ///< Until an older node is heard.
+    bool assumes_total_loss_; ///< Until an older node reports.
     double counted_ = 0;      ///< As of `changed_`.
     instant changed_;
 };
--- a/include/fennelladder/prepaid/stock_plan.hpp
+++ b/include/fennelladder/prepaid/stock_plan.hpp
@@ -90,7 +90,7 @@
 /// What a node knows of a team when it plans the team's stock.
 struct stock_state
 {
-    tokens prepaid;    ///< Total of the day.
+    tokens prepaid;    ///< Total for the day.
     tokens left;       ///< Not allotted yet.
     tokens fleet_free; ///< Free at all live nodes together.
     /// Of that, held by the team's stock holders. Other nodes hold what is left
@@ -98,9 +98,10 @@
     /// nodes, too little for the next request, and therefore not stock.
     tokens stocked;
     double fleet_spending = 0; ///< Tokens a second, all nodes together.
-    duration longest_outage{
-        0};            ///< The longest lately, see prepaid/outage_tracker.hpp.
-    double losses = 0; ///< Whole fleets lately, see prepaid/loss_tracker.hpp.
+    /// The longest recent one, see prepaid/outage_tracker.hpp.
+    duration longest_outage{0};
+    /// Recent losses in whole fleets, see prepaid/loss_tracker.hpp.
+    double losses = 0;
     /// Missing for requests that wait at this node or at others.
     tokens unmet_demand;
     std::size_t live_holders = 1; ///< The team's stock holders alive.
--- a/libs/dispatch/assignment_table_test.cpp
+++ b/libs/dispatch/assignment_table_test.cpp
@@ -1,10 +1,10 @@
-// Ways to share out what a cold target bears, compared by what they let through
-// where nodes know other hosts than the others do:
+// Compares ways to divide the capacity of a cold target, by the requests that
+// they let through when nodes have different membership views:
 //
-//   - one part for each of some carriers, ranked over hosts known for long (in
-//     use), or over those heard just now;
-//   - as many carriers as the target bears requests;
-//   - one carrier, as a ration that one node hands out would have.
+//   - an equal quota for each of a few assigned nodes, ranked over hosts known
+//     for long (the one in use), or over hosts heard from just now;
+//   - as many assigned nodes as the target can serve requests;
+//   - a single assigned node, as if one node handed out the whole quota.
 
 #include "fennelladder/dispatch/assignment_table.hpp"
 
@@ -31,22 +31,23 @@
     return out;
 }
 
-/// Requests in a second that all nodes together let through to one target,
-/// where node i knows views[i].
+/// Requests in a second that all nodes together may send to one target, where
+/// node i knows the hosts views[i].
 std::uint32_t total(const hosts& all, const std::vector<hosts>& views,
                     assignment_options options, const target_id& target)
 {
     std::uint32_t out = 0;
     for (std::size_t i = 0; i < all.size(); ++i) {
-        assignment_table carriers(all[i], options);
-        carriers.set_hosts(views[i]);
-        out += carriers.cold_quota(target, limit);
+        assignment_table assignments(all[i], options);
+        assignments.set_hosts(views[i]);
+        out += assignments.cold_quota(target, limit);
     }
     return out;
 }
 
-std::uint32_t most_of_targets(const hosts& all, const std::vector<hosts>& views,
-                              assignment_options options)
+std::uint32_t max_over_targets(const hosts& all,
+                               const std::vector<hosts>& views,
+                               assignment_options options)
 {
     std::uint32_t out = 0;
     for (int i = 0; i < 50; ++i)
@@ -61,7 +62,7 @@
 
 TEST_GROUP(assignment_table){};
 
-TEST(assignment_table, nodes_that_agree_stay_below_the_limit_and_starve_nobody)
+TEST(assignment_table, agreeing_nodes_use_most_of_the_limit_and_stay_below_it)
 {
     for (const std::size_t n : sizes) {
         const hosts all = fleet(n);
@@ -75,65 +76,65 @@
     }
 }
 
-// Guards against a cold target that gets the load of all nodes, each of which
-// believes that it is among its carriers since it heard late of some hosts.
-TEST(assignment_table, late_views_stay_below_the_limit)
+// Nodes that learn late of a host may wrongly count themselves among the nodes
+// assigned to a cold target. It must not get the load of all nodes then.
+TEST(assignment_table, outdated_views_stay_below_the_limit)
 {
     random_source random(7);
     for (const std::size_t n : sizes) {
         const hosts all = fleet(n);
         for (int round = 0; round < 10; ++round) {
-            // Each has missed one host that came lately.
+            // About half of the nodes have missed a host that joined recently.
             std::vector<hosts> views(n, all);
             const std::size_t missed = random.below(n);
             for (std::size_t i = 0; i < n; ++i)
                 if (i != missed && random.chance(0.5))
                     std::erase(views[i], all[missed]);
-            CHECK(most_of_targets(all, views, {}) <= limit);
+            CHECK(max_over_targets(all, views, {}) <= limit);
         }
     }
 }
 
-// Guards against a node that is cut off, hears nobody and so ranks first for
-// every target: hosts known for long are counted, and one that knows of none
-// carries nothing.
-TEST(assignment_table, a_node_that_knows_nobody_carries_nothing)
+// A partitioned node that ranked only the hosts it can reach would rank first
+// for every target. Hosts known for long are ranked instead, and a node that
+// knows none is assigned no target.
+TEST(assignment_table, node_without_known_hosts_is_assigned_nothing)
 {
-    assignment_table carriers(host_id("host-0"), {});
-    carriers.set_hosts({});
-    UNSIGNED_LONGS_EQUAL(0, carriers.cold_quota(target_id("i-1"), limit));
+    assignment_table assignments(host_id("host-0"), {});
+    assignments.set_hosts({});
+    UNSIGNED_LONGS_EQUAL(0, assignments.cold_quota(target_id("i-1"), limit));
 }
 
-// Guards against halves of a fleet that each choose carriers of their own.
-TEST(assignment_table, halves_that_remember_each_other_stay_below_the_limit)
+// Two halves of a partitioned fleet must not each assign nodes of their own.
+TEST(assignment_table, partitioned_halves_stay_below_the_limit)
 {
     const hosts all = fleet(77);
     const std::vector<hosts> remembered(all.size(), all);
-    CHECK(most_of_targets(all, remembered, {}) <= limit);
-    std::vector<hosts> heard;
+    CHECK(max_over_targets(all, remembered, {}) <= limit);
+    std::vector<hosts> reachable;
     for (std::size_t i = 0; i < all.size(); ++i) {
         hosts half;
         for (std::size_t j = i % 2; j < all.size(); j += 2)
             half.push_back(all[j]);
-        heard.push_back(half);
+        reachable.push_back(half);
     }
-    // By those heard just now, two halves would send more than the target
-    // bears, whether each target has one carrier or as many as it bears.
-    for (const std::size_t carriers :
+    // Ranked over the hosts heard from just now, two halves would send more
+    // than the limit, whether a target is assigned to one node or to many.
+    for (const std::size_t assigned_nodes :
          {std::size_t(1), std::size_t(3), std::size_t(12)}) {
-        assignment_options by_heard;
-        by_heard.assigned_nodes = carriers;
-        CHECK(most_of_targets(all, heard, by_heard) > limit);
+        assignment_options by_reachable;
+        by_reachable.assigned_nodes = assigned_nodes;
+        CHECK(max_over_targets(all, reachable, by_reachable) > limit);
     }
 }
 
-// With one carrier for each, a target is starved where that host is gone.
-TEST(assignment_table, the_loss_of_some_hosts_starves_few_targets)
+// With one assigned node, a target is starved when that host is gone.
+TEST(assignment_table, loss_of_some_hosts_starves_few_targets)
 {
     const hosts all = fleet(77);
-    const auto starved = [&](std::size_t carriers) {
+    const auto starved = [&](std::size_t assigned_nodes) {
         assignment_options options;
-        options.assigned_nodes = carriers;
+        options.assigned_nodes = assigned_nodes;
         int out = 0;
         for (int i = 0; i < 200; ++i) {
             std::uint32_t sum = 0;
@@ -151,7 +152,7 @@
     CHECK(starved(1) > 40);
 }
 
-TEST(assignment_table, a_small_limit_is_carried_by_few)
+TEST(assignment_table, small_limit_is_assigned_to_few_nodes)
 {
     assignment_table alone(host_id("host-0"), {});
     alone.set_hosts(fleet(1));
@@ -162,7 +163,7 @@
     UNSIGNED_LONGS_EQUAL(2, total(all, views, {}, target_id("i-1")) / 6);
 }
 
-TEST(assignment_table, sends_count_for_a_span)
+TEST(assignment_table, sends_are_counted_within_a_window)
 {
     const instant start(seconds(100));
     recent_sends sends;
@@ -177,9 +178,9 @@
     UNSIGNED_LONGS_EQUAL(1, sends.count(start + seconds(5), limit_window));
 }
 
-// Guards against a limit that is never found to be over, since the first hosts
-// are dead or have no callers.
-TEST(assignment_table, while_nobody_hears_of_a_limit_more_hosts_carry)
+// The hosts that rank first may be dead or have no callers; the end of a limit
+// must be detected nevertheless.
+TEST(assignment_table, more_hosts_are_assigned_while_no_node_gets_an_answer)
 {
     const hosts all = fleet(40);
     const hosts first(all.begin(), all.begin() + 10);
@@ -194,13 +195,13 @@
         return out;
     };
     UNSIGNED_LONGS_EQUAL(4, sent(seconds(0)));
-    // Not more than one in 4 s, a quarter of what the target takes.
+    // At most one more in 4 s, a quarter of the limit's rate.
     UNSIGNED_LONGS_EQUAL(5, sent(seconds(4)));
     UNSIGNED_LONGS_EQUAL(14, sent(seconds(40)));
     UNSIGNED_LONGS_EQUAL(34, sent(seconds(120)));
 }
 
-TEST(assignment_table, all_that_a_limit_allows_is_shared_out)
+TEST(assignment_table, quotas_add_up_to_the_limit)
 {
     const hosts all = fleet(8);
     const auto share = [&](double rate) {
@@ -212,7 +213,7 @@
         }
         return out;
     };
-    // One of them finds out whether the limit is over.
+    // One node detects whether the limit has ended.
     UNSIGNED_LONGS_EQUAL(1, share(0));
     UNSIGNED_LONGS_EQUAL(1, share(0.4));
     UNSIGNED_LONGS_EQUAL(4, share(1));
@@ -220,9 +221,9 @@
     UNSIGNED_LONGS_EQUAL(120, share(30));
 }
 
-// Guards against nodes that refuse all their callers while others have room,
-// where the few targets of a service all name limits.
-TEST(assignment_table, a_limit_that_has_room_for_all_is_carried_by_all)
+// If the few targets of a service all announce limits, no node may refuse all
+// of its callers while other nodes have quota left.
+TEST(assignment_table, large_limit_is_assigned_to_all_nodes)
 {
     for (const host_id& it : fleet(8)) {
         assignment_table one(it, {});
@@ -231,18 +232,18 @@
     }
 }
 
-// Guards against a rank that was kept from before other hosts were known.
-TEST(assignment_table, other_hosts_change_the_carriers)
+// Guards against a cached rank from before other hosts were known.
+TEST(assignment_table, changed_hosts_change_the_assignment)
 {
     assignment_table one(host_id("host-0"), {});
     one.set_hosts(fleet(1));
     CHECK(one.cold_quota(target_id("i-1"), limit) > 0);
-    int carried = 0;
+    int assigned = 0;
     for (std::size_t n = 1; n <= 100; n += 33) {
         one.set_hosts(fleet(n));
-        carried += one.cold_quota(target_id("i-1"), limit) > 0 ? 1 : 0;
+        assigned += one.cold_quota(target_id("i-1"), limit) > 0 ? 1 : 0;
     }
-    CHECK(carried < 4);
+    CHECK(assigned < 4);
     one.set_hosts({});
     UNSIGNED_LONGS_EQUAL(0, one.cold_quota(target_id("i-1"), limit));
 }
--- a/libs/dispatch/attempt_policy_test.cpp
+++ b/libs/dispatch/attempt_policy_test.cpp
@@ -1,5 +1,5 @@
-// The rules that hold whatever the options say are checked over all courses
-// of up to four attempts, ended in every way.
+// Checks the rules that hold whatever the options say over all sequences of
+// attempts that the policy allows, with every possible end of each.
 
 #include "fennelladder/dispatch/attempt_policy.hpp"
 
@@ -18,13 +18,14 @@
      attempt_end::broken, attempt_end::silent, attempt_end::garbled,
      attempt_end::caller_left, attempt_end::out_of_time});
 
-bool oracle_not_run(attempt_end it)
+bool expected_not_run(attempt_end it)
 {
     return it == attempt_end::not_connected || it == attempt_end::rejected ||
            it == attempt_end::other_life;
 }
 
-catalog::route way(catalog::repeat_rule rule, int max_targets, bool resumable)
+catalog::route make_route(catalog::repeat_rule rule, int max_targets,
+                          bool resumable)
 {
     catalog::route out;
     out.repeats = rule;
@@ -35,7 +36,7 @@
 }
 
 /// Follows the policy through every sequence of ends.
-void walk(const request_state& so_far, int depth, int& checked)
+void explore(const request_state& so_far, int depth, int& checked)
 {
     for (const attempt_end ended : ends) {
         request_state now = so_far;
@@ -43,7 +44,7 @@
             ++now.sent;
         else
             ++now.failed_connects;
-        if (!oracle_not_run(ended))
+        if (!expected_not_run(ended))
             ++now.may_have_run;
         const next_step step = decide_next(now, ended, {});
         ++checked;
@@ -52,7 +53,7 @@
                 CHECK_EQUAL(0, now.may_have_run);
             CHECK(now.may_have_run < now.way->max_targets);
             if (depth > 0)
-                walk(now, depth - 1, checked);
+                explore(now, depth - 1, checked);
         }
         if (step.action == next_action::say_not_run)
             CHECK_EQUAL(0, now.may_have_run);
@@ -66,7 +67,7 @@
 
 TEST_GROUP(attempt_policy){};
 
-TEST(attempt_policy, what_always_holds)
+TEST(attempt_policy, rules_hold_for_all_sequences_of_attempts)
 {
     int checked = 0;
     for (const auto rule :
@@ -74,21 +75,22 @@
         for (const int most : {1, 2, 3})
             for (const bool begun : {false, true})
                 for (const bool resumable : {false, true}) {
-                    const catalog::route on = way(rule, most, resumable);
+                    const catalog::route on = make_route(rule, most, resumable);
                     request_state start;
                     start.way = &on;
                     start.time_left = seconds(10);
                     start.head_passed_on = begun;
-                    walk(start, 4, checked);
+                    explore(start, 4, checked);
                 }
     CHECK(checked > 1000);
 }
 
-// Story: a ticket is sent on a kept connection; the connection resets. The
-// ticket may have been booked. It is neither sent again nor called "not run".
-TEST(attempt_policy, a_broken_ticket_is_unknown)
+// A request that may run only once is sent on a kept-alive connection, which is
+// reset. It may have run, so it is neither sent again nor reported as "not
+// run".
+TEST(attempt_policy, broken_at_most_once_request_is_unknown)
 {
-    const auto on = way(catalog::repeat_rule::at_most_once, 3, false);
+    const auto on = make_route(catalog::repeat_rule::at_most_once, 3, false);
     request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
@@ -98,9 +100,9 @@
     CHECK(step.action == next_action::say_unknown);
 }
 
-TEST(attempt_policy, a_rejected_ticket_goes_to_another_target)
+TEST(attempt_policy, rejected_at_most_once_request_goes_to_another_target)
 {
-    const auto on = way(catalog::repeat_rule::at_most_once, 1, false);
+    const auto on = make_route(catalog::repeat_rule::at_most_once, 1, false);
     request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
@@ -111,9 +113,9 @@
     CHECK(step.uses_retry);
 }
 
-TEST(attempt_policy, a_stream_that_may_not_resume_is_cut)
+TEST(attempt_policy, stream_that_is_not_resumable_is_cut)
 {
-    const auto on = way(catalog::repeat_rule::at_most_once, 2, false);
+    const auto on = make_route(catalog::repeat_rule::at_most_once, 2, false);
     request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
@@ -124,9 +126,9 @@
           next_action::cut);
 }
 
-TEST(attempt_policy, without_time_nothing_is_tried)
+TEST(attempt_policy, no_attempt_without_time_left)
 {
-    const auto on = way(catalog::repeat_rule::idempotent, 3, false);
+    const auto on = make_route(catalog::repeat_rule::idempotent, 3, false);
     request_state so_far;
     so_far.way = &on;
     so_far.sent = 1;
@@ -136,10 +138,10 @@
           next_action::say_unknown);
 }
 
-/// The callers of one team fill a host's link, on which everything waits.
-/// Guards against final answers that come long after the route's timeout, as
-/// the time that a request waits awaiting_first_byte counts for nobody.
-TEST(attempt_policy, a_final_answer_over_a_full_link_arrives_in_time)
+// The callers of one team saturate a host's link. Guards against final answers
+// that arrive long after the route's timeout, because the time that a request
+// waits on the link before it is read isn't counted.
+TEST(attempt_policy, final_answer_over_a_saturated_link_arrives_in_time)
 {
     const duration timeout = milliseconds(1200);
     for (const bool dialed : {false, true})
--- a/libs/dispatch/limited_target_test.cpp
+++ b/libs/dispatch/limited_target_test.cpp
@@ -1,6 +1,6 @@
-// What all nodes of a fleet together send to a target that names a limit,
-// against what it allows: in any 4 s one and a half times the limit, and 5
-// more, from nodes that have known of it for half a second.
+// Checks what all nodes of a fleet together send to a target that announces a
+// limit. Allowed in any 4 s: one and a half times the limit plus 5 requests,
+// from nodes that have known the limit for half a second.
 
 #include "sample_targets.hpp"
 
@@ -19,10 +19,10 @@
 namespace {
 
 const service_id llm("llm");
-const target_id needy("i-1");
+const target_id limited("i-1");
 constexpr instant start = instant(seconds(100));
 
-/// From the first answer that names the limit on, nodes may need so long.
+/// Nodes may need this long after the first answer with the limit.
 constexpr double grace_s = 3;
 constexpr double window_s = 4;
 
@@ -40,12 +40,12 @@
 {
     std::size_t nodes = 8;
     double requests_per_second = 50;
-    double rate = 1; ///< The limit named.
+    double rate = 1; ///< The announced limit.
 };
 
-/// A fleet before one target, which names its limit in each answer from 0 s
-/// until `ends_s`. Every quarter of a second each node hears what the others
-/// were told, as it was a quarter of a second before.
+/// A fleet with one target, which announces its limit in each answer from 0 s
+/// until `ends_s`. Every quarter of a second each node receives the limit
+/// signals that the others had a quarter of a second before.
 class fleet
 {
 public:
@@ -63,12 +63,12 @@
     {
         while (now_ < until_s) {
             now_ += random.exponential(1 / options_.requests_per_second);
-            tell_each_other();
+            exchange_signals();
             send(nodes_[random.below(nodes_.size())], random);
         }
     }
 
-    /// The node starts anew and knows these hosts.
+    /// The node restarts and knows these hosts.
     void restart(std::size_t n, std::vector<host_id> known)
     {
         nodes_[n] = make(n, std::move(known));
@@ -76,7 +76,7 @@
 
     const std::vector<host_id>& hosts() const { return hosts_; }
 
-    /// The most requests in a window, of those that count.
+    /// The most requests in any window, of those that count.
     int worst_window() const
     {
         int out = 0;
@@ -98,7 +98,7 @@
     struct node
     {
         target_registry registry;
-        double told = 1e9; ///< When it first got an answer with the limit.
+        double informed_s = 1e9; ///< First answer with the limit.
     };
 
     node make(std::size_t n, std::vector<host_id> known) const
@@ -106,25 +106,25 @@
         target_registry_options options;
         options.self = host(n);
         node out{target_registry(options)};
-        out.registry.sync({{needy, sample_engine(1, 24)}}, false, start);
+        out.registry.sync({{limited, sample_engine(1, 24)}}, false, start);
         out.registry.set_assignable_hosts(std::move(known));
         return out;
     }
 
     instant at() const { return start + from_seconds(now_); }
 
-    void tell_each_other()
+    void exchange_signals()
     {
-        if (now_ < next_words_s_)
+        if (now_ < next_exchange_s_)
             return;
-        next_words_s_ = now_ + words_period_s;
-        for (const auto& words : words_)
+        next_exchange_s_ = now_ + exchange_period_s;
+        for (const auto& signals : signals_)
             for (node& it : nodes_)
-                it.registry.merge_peer_limits(words, words_at_);
-        words_.clear();
-        words_at_ = at();
+                it.registry.merge_peer_limits(signals, signals_at_);
+        signals_.clear();
+        signals_at_ = at();
         for (const node& it : nodes_)
-            words_.push_back(it.registry.own_limits(at()));
+            signals_.push_back(it.registry.own_limits(at()));
     }
 
     void send(node& by, random_source& random)
@@ -137,18 +137,18 @@
         by.registry.started(*made, request, at());
         by.registry.finished(*made, false, target_evidence::answered, at());
         all_.push_back(now_);
-        if (now_ >= by.told + 0.5)
+        if (now_ >= by.informed_s + 0.5)
             counted_.push_back(now_);
-        const bool names = now_ < ends_s;
+        const bool announces = now_ < ends_s;
         by.registry.note_signals(
-            {needy, {}},
-            signals_of(names ? std::optional(options_.rate) : std::nullopt),
+            {limited, {}},
+            signals_of(announces ? std::optional(options_.rate) : std::nullopt),
             at());
-        if (names)
-            by.told = std::min(by.told, now_);
+        if (announces)
+            by.informed_s = std::min(by.informed_s, now_);
     }
 
-    static constexpr double words_period_s = 0.25;
+    static constexpr double exchange_period_s = 0.25;
 
     static int sent(const std::vector<double>& in, double from)
     {
@@ -159,9 +159,9 @@
     fleet_options options_;
     std::vector<host_id> hosts_;
     std::vector<node> nodes_;
-    std::vector<std::vector<limit_signal>> words_; ///< Under way.
-    instant words_at_;
-    double next_words_s_ = 0;
+    std::vector<std::vector<limit_signal>> signals_; ///< In flight.
+    instant signals_at_;
+    double next_exchange_s_ = 0;
     double now_ = 0;
     std::vector<double> all_;
     std::vector<double> counted_;
@@ -182,8 +182,8 @@
     random_source random{1};
 };
 
-// Guards against a fleet that goes on as before where a target names a limit.
-TEST(limited_target, gets_what_it_names_from_all_nodes_together)
+// Guards against a fleet that ignores an announced limit.
+TEST(limited_target, limit_holds_for_all_nodes_together)
 {
     for (const std::size_t nodes : {1, 3, 8, 83, 340})
         for (const double rate : {0.0, 0.4, 1.0, 1.3, 7.5, 30.0}) {
@@ -193,8 +193,8 @@
         }
 }
 
-// Guards against a limit that is kept by sending nothing.
-TEST(limited_target, is_used)
+// Guards against keeping the limit by sending nothing.
+TEST(limited_target, limit_is_used)
 {
     for (const double rate : {1.0, 1.3, 7.5, 30.0}) {
         fleet all({.rate = rate});
@@ -203,9 +203,9 @@
     }
 }
 
-// Guards against nodes that start, and against those that know few hosts:
-// half of the fleet, as after a start in a cut.
-TEST(limited_target, starts_and_halves_stay_below_what_is_allowed)
+// Nodes restart and know only half of the fleet, as after a restart in a
+// partition.
+TEST(limited_target, restarts_with_partial_views_keep_the_limit)
 {
     for (const double rate : {1.0, 1.3, 7.5}) {
         fleet all({.rate = rate});
@@ -219,8 +219,8 @@
     }
 }
 
-// Guards against a target that is well again and stays without requests.
-TEST(limited_target, is_a_target_like_others_once_it_names_no_limit)
+// A target whose limit has ended must get requests again.
+TEST(limited_target, gets_full_load_once_the_limit_has_ended)
 {
     fleet all({});
     all.ends_s = 20;
@@ -229,18 +229,18 @@
     CHECK(all.got(24) >= 150);
 }
 
-// Guards against a word that is older than the last and brings a limit back.
-TEST(limited_target, an_older_word_changes_nothing)
+// A limit signal that is older than the last one must not restore the limit.
+TEST(limited_target, older_signal_is_ignored)
 {
     target_registry registry({.self = host(0)});
-    registry.sync({{needy, sample_engine(1, 24)}}, false, start);
+    registry.sync({{limited, sample_engine(1, 24)}}, false, start);
     const auto note = [&](std::optional<double> rate, instant at) {
-        return registry.note_signals({needy, {}}, signals_of(rate), at)
+        return registry.note_signals({limited, {}}, signals_of(rate), at)
             .rate_limit;
     };
     CHECK(note(1.0, start));
     CHECK(note(std::nullopt, start + seconds(2)));
-    const limit_signal late{needy, {}, 1.0, seconds(1)};
+    const limit_signal late{limited, {}, 1.0, seconds(1)};
     CHECK(registry.merge_peer_limits({late}, start + seconds(2)).empty());
     UNSIGNED_LONGS_EQUAL(
         1, registry.merge_peer_limits({late}, start + seconds(4)).size());
--- a/libs/dispatch/poison_list.cpp
+++ b/libs/dispatch/poison_list.cpp
@@ -20,18 +20,18 @@
 poison_list::poison_list(poison_list_options options) : options_(options)
 {}
 
-bool poison_list::is_poison(request_fingerprint mark, instant now) const
+bool poison_list::is_poison(request_fingerprint fingerprint, instant now) const
 {
-    const auto it = entries_.find(mark);
+    const auto it = entries_.find(fingerprint);
     return it != entries_.end() &&
            it->second.deaths.size() >= options_.deaths &&
            now - it->second.last < options_.retention;
 }
 
-bool poison_list::note_death(request_fingerprint mark,
+bool poison_list::note_death(request_fingerprint fingerprint,
                              const catalog::target_process& target, instant now)
 {
-    entry& it = entries_[mark];
+    entry& it = entries_[fingerprint];
     const auto of_id =
         std::ranges::find(it.deaths, target.id, &catalog::target_process::id);
     const bool known_id = of_id != it.deaths.end();
@@ -46,7 +46,7 @@
         return false;
     it.deaths.insert(place, target);
     it.last = now;
-    forget(now);
+    evict(now);
     return true;
 }
 
@@ -58,14 +58,14 @@
     return changed;
 }
 
-void poison_list::forget(instant now)
+void poison_list::evict(instant now)
 {
     if (entries_.size() <= options_.max_records)
         return;
     std::erase_if(entries_, [&](const auto& it) {
         return now - it.second.last >= options_.retention;
     });
-    // Still full: drop the records below the threshold.
+    // Still full: drop records below the threshold, the least valuable ones.
     if (entries_.size() > options_.max_records)
         std::erase_if(entries_, [&](const auto& it) {
             return it.second.deaths.size() < options_.deaths;
@@ -76,9 +76,9 @@
                                                instant now) const
 {
     std::vector<std::pair<instant, poison_record>> found;
-    for (const auto& [mark, it] : entries_)
+    for (const auto& [fingerprint, it] : entries_)
         if (now - it.last < span)
-            found.push_back({it.last, {mark, it.deaths}});
+            found.push_back({it.last, {fingerprint, it.deaths}});
     std::ranges::sort(found, std::greater<>(),
                       [](const auto& it) { return it.first; });
     std::vector<poison_record> out;
--- a/libs/dispatch/poison_list_test.cpp
+++ b/libs/dispatch/poison_list_test.cpp
@@ -18,7 +18,7 @@
     poison_list list{{}};
 };
 
-TEST(poison_list, a_mark_is_of_what_is_sent_again)
+TEST(poison_list, fingerprint_covers_what_a_caller_sends_again)
 {
     CHECK(bad == fingerprint_of("POST", "/a", team_id("t"), "crash"));
     CHECK(bad != fingerprint_of("POST", "/b", team_id("t"), "crash"));
@@ -26,9 +26,9 @@
     CHECK(bad != fingerprint_of("POST", "/a", team_id("t"), "other"));
 }
 
-// Story: two targets die under a request. A third never sees it; a request
-// that ran beside it at the first is served on.
-TEST(poison_list, two_deaths_condemn_and_one_does_not)
+// Two targets die under a request, so no third one gets it. A request that ran
+// beside it at the first target is still served.
+TEST(poison_list, two_deaths_quarantine_a_request_and_one_does_not)
 {
     const request_fingerprint beside(7);
     list.note_death(bad, {target_id("a")}, start);
@@ -39,7 +39,7 @@
     CHECK(!list.is_poison(beside, start + seconds(1)));
 }
 
-TEST(poison_list, one_death_seen_by_two_nodes_is_one)
+TEST(poison_list, death_seen_by_two_nodes_counts_once)
 {
     list.note_death(bad, {target_id("a")}, start);
     CHECK(!list.merge({bad, {{target_id("a")}}}, start));
@@ -48,7 +48,7 @@
     CHECK(list.is_poison(bad, start));
 }
 
-TEST(poison_list, what_is_told_condemns_elsewhere)
+TEST(poison_list, merged_records_quarantine_on_other_nodes)
 {
     list.note_death(bad, {target_id("a")}, start);
     list.note_death(bad, {target_id("b")}, start);
@@ -58,7 +58,7 @@
     CHECK(other.is_poison(bad, start));
 }
 
-TEST(poison_list, is_forgotten_in_the_end)
+TEST(poison_list, records_expire)
 {
     list.note_death(bad, {target_id("a")}, start);
     list.note_death(bad, {target_id("b")}, start);
@@ -66,41 +66,51 @@
     CHECK(!list.is_poison(bad, start + minutes(11)));
 }
 
-// Story: a request crashes its target, which starts again under its id, runs
-// the request once more and crashes again. Counted by id that was one death,
-// and the request went on crashing target after target.
-TEST(poison_list, two_lives_of_one_id_are_two_deaths)
+// A request crashes its target, which restarts under its id, runs the request
+// again and crashes again. Counted by id that was one death, and the request
+// went on to crash target after target.
+TEST(poison_list, two_incarnations_of_one_id_are_two_deaths)
 {
     using deaths = std::vector<catalog::target_process>;
-    const auto life = [](const char* id, std::uint64_t started) {
+    const auto process = [](const char* id, std::uint64_t started) {
         return catalog::target_process{target_id(id),
                                        catalog::target_start(started)};
     };
     struct row
     {
         const char* what;
-        deaths told;
+        deaths reported;
         bool poison;
     };
     const row rows[] = {
-        {"one life, told twice", {life("a", 5), life("a", 5)}, false},
-        {"two lives", {life("a", 5), life("a", 9)}, true},
-        {"two ids that started together", {life("a", 5), life("b", 5)}, true},
-        {"one without its start", {life("a", 5), life("a", 0)}, false},
-        {"the other way round", {life("a", 0), life("a", 5)}, false},
-        {"a third that says it",
-         {life("a", 0), life("a", 5), life("a", 9)},
+        {"one process, reported twice",
+         {process("a", 5), process("a", 5)},
+         false},
+        {"two processes of one id", {process("a", 5), process("a", 9)}, true},
+        {"two ids that started together",
+         {process("a", 5), process("b", 5)},
+         true},
+        {"one without its start time",
+         {process("a", 5), process("a", 0)},
+         false},
+        {"without its start time first",
+         {process("a", 0), process("a", 5)},
+         false},
+        {"a further process with its start time",
+         {process("a", 0), process("a", 5), process("a", 9)},
+         true},
+        {"in another order",
+         {process("a", 9), process("a", 0), process("a", 5)},
          true},
-        {"in another order", {life("a", 9), life("a", 0), life("a", 5)}, true},
     };
     for (const row& it : rows) {
-        poison_list told({});
+        poison_list noted({});
         poison_list merged({});
-        for (const catalog::target_process& death : it.told) {
-            told.note_death(bad, death, start);
+        for (const catalog::target_process& death : it.reported) {
+            noted.note_death(bad, death, start);
             merged.merge({bad, {death}}, start);
         }
-        CHECK_EQUAL_TEXT(it.poison, told.is_poison(bad, start), it.what);
+        CHECK_EQUAL_TEXT(it.poison, noted.is_poison(bad, start), it.what);
         CHECK_EQUAL_TEXT(it.poison, merged.is_poison(bad, start), it.what);
     }
 }
--- a/libs/dispatch/restricted_targets_test.cpp
+++ b/libs/dispatch/restricted_targets_test.cpp
@@ -1,5 +1,5 @@
-// Targets that a request may not go to, or not as often as it would: those of
-// evacuated data centres, cold ones, and those outside of a request's regions.
+// Targets that are excluded or limited for a request: those in evacuated data
+// centres, cold ones, and those outside the regions that the request allows.
 
 #include "sample_targets.hpp"
 
@@ -24,7 +24,7 @@
     return data_center_id("dc-" + std::to_string(n));
 }
 
-/// Targets by turns in `places` data centres.
+/// Targets distributed over `places` data centres.
 entry_map targets(int n, int places)
 {
     entry_map out;
@@ -72,7 +72,7 @@
         registry.sync(targets(9, 3), false, start);
     }
 
-    void traits()
+    void set_profile()
     {
         registry.set_cold_start_profiles(
             {{service_id("llm"), {cold_for, limit}}});
@@ -84,7 +84,8 @@
         return made ? made->data_center : data_center_id();
     }
 
-    /// Sends through `by` for a second; how many requests each target got.
+    /// Sends `n` requests through `by` within a second. Returns how many each
+    /// target got.
     std::map<target_id, int> send(target_registry & by, int n, instant from)
     {
         std::map<target_id, int> out;
@@ -101,8 +102,8 @@
         return out;
     }
 
-    /// The target with number `i` can't be reached and then answers.
-    void back_after_a_rest(int i, instant now)
+    /// Target number `i` is unreachable and then answers.
+    void recover(int i, instant now)
     {
         const catalog::target_process process{
             target_id("i-" + std::to_string(i)), {}};
@@ -112,7 +113,7 @@
     }
 };
 
-TEST(restricted_targets, an_evacuated_data_centre_gets_nothing)
+TEST(restricted_targets, evacuated_data_centre_gets_nothing)
 {
     registry.set_evacuated({place(0), place(2)}, start);
     for (int i = 0; i < 50; ++i) {
@@ -123,7 +124,7 @@
     CHECK(registry.may_use(target_id("i-1"), start));
 }
 
-TEST(restricted_targets, of_no_data_centre_left_the_reason_is_known)
+TEST(restricted_targets, reports_evacuation_if_no_data_centre_is_left)
 {
     registry.set_evacuated({place(0), place(1), place(2)}, start);
     CHECK(!registry.choose(request, start, random).has_value());
@@ -133,9 +134,9 @@
     CHECK(registry.choose(request, start, random).has_value());
 }
 
-// Guards against a refusal that names an evacuation where targets' entries
-// lapsed while the platform was unwell.
-TEST(restricted_targets, a_target_whose_entry_lapsed_isnt_called_evacuated)
+// Guards against a refusal that blames an evacuation although the targets'
+// entries expired while the platform was degraded.
+TEST(restricted_targets, expired_entries_are_not_reported_as_evacuated)
 {
     registry.sync({}, true, start);
     const instant later = start + seconds(10);
@@ -144,14 +145,15 @@
           no_target_reason::none_usable);
 }
 
-TEST(restricted_targets, an_evacuation_of_an_unknown_place_changes_nothing)
+TEST(restricted_targets, evacuation_of_an_unknown_data_centre_changes_nothing)
 {
     UNSIGNED_LONGS_EQUAL(0,
                          registry.set_evacuated({data_center_id("x")}, start));
     CHECK(registry.choose(request, start, random).has_value());
 }
 
-// Guards against targets of an evacuated data centre that come while it lasts.
+// Guards against requests to targets that are added to a data centre during its
+// evacuation.
 TEST(restricted_targets, new_targets_of_an_evacuated_data_centre_get_nothing)
 {
     registry.set_evacuated({place(0), place(1)}, start);
@@ -160,7 +162,7 @@
         CHECK(chosen_place() == place(2));
 }
 
-TEST(restricted_targets, only_the_regions_allowed_are_used)
+TEST(restricted_targets, only_allowed_regions_are_used)
 {
     request.regions = std::vector{region_id("q")};
     CHECK(chosen_place() == place(2));
@@ -170,8 +172,8 @@
           no_target_reason::outside_regions);
 }
 
-// Guards against a target of which nobody knows the region.
-TEST(restricted_targets, an_unknown_data_centre_is_in_no_region)
+// Guards against requests to a target whose region is unknown.
+TEST(restricted_targets, unknown_data_centre_is_in_no_region)
 {
     auto listed = targets(3, 1);
     for (auto& [id, entry] : listed)
@@ -181,10 +183,10 @@
     CHECK(!registry.choose(request, start, random).has_value());
 }
 
-// Guards against a herd at a target that is back and looks idle.
-TEST(restricted_targets, a_cold_target_gets_its_share_in_any_second)
+// Guards against a thundering herd at a restarted target, which looks idle.
+TEST(restricted_targets, cold_target_gets_at_most_its_quota_a_second)
 {
-    traits();
+    set_profile();
     registry.set_assignable_hosts({host_id("a")});
     auto listed = targets(2, 1);
     listed.at(target_id("i-0")).warm_up_left = cold_for;
@@ -192,14 +194,14 @@
     const auto got = send(registry, 500, start);
     CHECK(got.at(target_id("i-0")) > 0);
     CHECK(got.at(target_id("i-0")) <= 12);
-    // Warm by its own word.
+    // The warm-up of its entry is over.
     const auto later = send(registry, 500, start + cold_for + seconds(1));
     CHECK(later.at(target_id("i-0")) > 100);
 }
 
-TEST(restricted_targets, nodes_that_dont_carry_it_send_a_cold_target_nothing)
+TEST(restricted_targets, unassigned_nodes_send_a_cold_target_nothing)
 {
-    traits();
+    set_profile();
     registry.set_assignable_hosts({});
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
@@ -210,7 +212,7 @@
     CHECK(registry.choose(request, start + cold_for, random).has_value());
 }
 
-TEST(restricted_targets, services_without_a_rate_know_no_cold_targets)
+TEST(restricted_targets, services_without_a_profile_have_no_cold_targets)
 {
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
@@ -219,11 +221,11 @@
     CHECK(registry.choose(request, start, random).has_value());
 }
 
-// Guards against an entry that is listed again and again with the same words:
-// its target would never be warm.
-TEST(restricted_targets, an_entry_that_comes_again_doesnt_begin_anew)
+// An entry that is listed repeatedly with the same remaining warm-up must not
+// restart it: the target would never be warm.
+TEST(restricted_targets, repeated_entry_does_not_restart_the_warm_up)
 {
-    traits();
+    set_profile();
     auto listed = targets(2, 1);
     for (auto& [id, entry] : listed)
         entry.warm_up_left = cold_for;
@@ -232,32 +234,31 @@
     CHECK(registry.choose(request, start + cold_for, random).has_value());
 }
 
-TEST(restricted_targets, a_target_may_say_that_it_is_cold)
+TEST(restricted_targets, target_may_signal_that_it_is_cold)
 {
-    traits();
+    set_profile();
     registry.note_signals({target_id("i-0"), {}}, {.cold_left = cold_for},
                           start);
     const auto got = send(registry, 100, start);
     CHECK(!got.contains(target_id("i-0")));
 }
 
-// Guards against a target that crashed and answers again before its entry says
-// that it started anew.
-TEST(restricted_targets, a_target_that_is_back_gets_one_request_a_second)
+// A target crashed and answers again before its entry says that it restarted.
+TEST(restricted_targets, recovered_target_gets_one_request_a_second)
 {
-    traits();
+    set_profile();
     registry.set_assignable_hosts({host_id("a")});
     registry.sync(targets(1, 1), false, start);
-    back_after_a_rest(0, start);
+    recover(0, start);
     const auto got = send(registry, 500, start + seconds(1));
     CHECK_EQUAL(1, got.at(target_id("i-0")));
     const auto later = send(registry, 500, start + seconds(1) + cold_for);
     CHECK_EQUAL(500, later.at(target_id("i-0")));
 }
 
-// Guards against one request a second from each node of a fleet, where any of
-// them may be the herd that a cold target doesn't bear.
-TEST(restricted_targets, a_fleet_sends_a_target_that_is_back_what_it_bears)
+// One request a second from each node of a fleet would add up to more than a
+// cold target can serve.
+TEST(restricted_targets, fleet_sends_a_recovered_target_at_most_its_limit)
 {
     std::vector<host_id> hosts;
     for (int i = 0; i < 77; ++i)
@@ -278,9 +279,9 @@
     CHECK(got <= static_cast<int>(limit));
 }
 
-/// Six nodes at which all callers are, of a fleet of 77, and 140 targets, of
-/// which a third is back after an evacuation; 800 requests in a second.
-TEST(restricted_targets, a_third_of_all_targets_back_at_once_meets_no_herd)
+// Six nodes of a fleet of 77 have all callers, at 800 requests a second. A
+// third of the 140 targets come back after an evacuation.
+TEST(restricted_targets, no_herd_when_a_third_of_all_targets_come_back)
 {
     std::vector<host_id> large;
     for (int i = 0; i < 6; ++i)
--- a/libs/dispatch/retry_budget_test.cpp
+++ b/libs/dispatch/retry_budget_test.cpp
@@ -16,9 +16,9 @@
 
 TEST_GROUP(retry_budget){};
 
-// Slow oracle: random traffic at four nodes that hear nothing of each other;
-// every window is counted by hand against the operator's limit.
-TEST(retry_budget, the_sum_over_all_nodes_keeps_the_limit)
+// Brute-force check: random traffic at four nodes that exchange no messages;
+// the retries of every window are compared with the operator's limit.
+TEST(retry_budget, sum_over_all_nodes_keeps_the_limit)
 {
     constexpr std::size_t nodes = 4;
     const retry_budget_options options{
@@ -43,25 +43,25 @@
         }
         for (double from = 0; from < now; from += 0.37) {
             double sent = 0;
-            double again = 0;
+            double retried = 0;
             for (const double it : requests)
                 sent += it >= from && it < from + 10 ? 1 : 0;
             for (const double it : retries)
-                again += it >= from && it < from + 10 ? 1 : 0;
+                retried += it >= from && it < from + 10 ? 1 : 0;
             double earlier = 0;
             for (const double it : requests)
                 earlier += it >= from - 5 && it < from + 5 ? 1 : 0;
             const double most = std::max(sent, earlier);
-            CHECK(again <= options.share * most + options.slack);
+            CHECK(retried <= options.share * most + options.slack);
         }
     }
 }
 
-TEST(retry_budget, the_slack_is_shared)
+TEST(retry_budget, slack_is_divided_among_hosts)
 {
     const retry_budget_options options{
         .share = 0, .slack = 40, .window = seconds(10), .safety_factor = 1};
-    // One window saves up half, another brings half: all of them together.
+    // Half is saved in one window and half is earned in the next.
     const auto taken_by = [&](std::size_t hosts) {
         retry_budget it(options);
         it.set_hosts(hosts, start);
@@ -77,7 +77,7 @@
     CHECK_EQUAL(5, taken_by(8));
 }
 
-TEST(retry_budget, no_more_than_a_window_is_saved_up)
+TEST(retry_budget, at_most_one_window_is_saved)
 {
     retry_budget it(
         {.share = 0, .slack = 4, .window = seconds(10), .safety_factor = 1});
@@ -85,7 +85,7 @@
     DOUBLES_EQUAL(2, it.left(desk, start + seconds(100)), 1e-9);
 }
 
-TEST(retry_budget, requests_are_forgotten_after_a_window)
+TEST(retry_budget, requests_expire_after_a_window)
 {
     retry_budget it(
         {.share = 0.2, .slack = 0, .window = seconds(10), .safety_factor = 1});
@@ -95,8 +95,8 @@
     DOUBLES_EQUAL(0, it.left(desk, start + seconds(11)), 1e-9);
 }
 
-// Guards against a node that knows nobody and takes the whole slack.
-TEST(retry_budget, without_known_hosts_there_is_no_slack)
+// A node that knows no other host must not take the whole slack.
+TEST(retry_budget, no_slack_without_known_hosts)
 {
     retry_budget it({});
     DOUBLES_EQUAL(0, it.left(desk, start + seconds(100)), 1e-9);
@@ -105,9 +105,9 @@
     CHECK(it.take_retry(desk, start + seconds(110)));
 }
 
-// Guards against a calm time whose allowance is spent at once and earned again
-// within the same window.
-TEST(retry_budget, a_burst_leaves_half_of_a_window)
+// Guards against retries saved in a calm period that are spent at once and
+// earned again within the same window.
+TEST(retry_budget, burst_uses_at_most_the_saved_half)
 {
     retry_budget it(
         {.share = 0.2, .slack = 0, .window = seconds(10), .safety_factor = 1});
--- a/libs/dispatch/retry_fleet_test.cpp
+++ b/libs/dispatch/retry_fleet_test.cpp
@@ -1,6 +1,5 @@
-// What all nodes of a fleet together send again, against the operator's limit,
-// while nodes die and start and callers move between them. Every window is
-// counted by hand.
+// Compares the retries of all nodes of a fleet with the operator's limit in
+// every window, while nodes die and restart and callers move between them.
 
 #include "fennelladder/base/random.hpp"
 #include "fennelladder/dispatch/retry_budget.hpp"
@@ -18,8 +17,8 @@
 const service_id llm("llm");
 constexpr instant start = instant(seconds(100));
 
-/// Until a node that has started knows the others.
-constexpr double acquaintance_s = 1;
+/// Time until a restarted node knows the others.
+constexpr double discovery_s = 1;
 
 struct fleet_options
 {
@@ -29,7 +28,7 @@
         .share = 0.2, .slack = 56, .window = seconds(10)};
 };
 
-/// Nodes that send again all they may while targets fail.
+/// Nodes that send all the retries they may while targets fail.
 class fleet
 {
 public:
@@ -38,30 +37,33 @@
         nodes_.assign(options_.nodes, {options_.retries});
     }
 
-    /// Requests come to the living nodes, `weights` as often each.
+    /// Requests come to the nodes in proportion to `weights`.
     void run_until(double until_s, const std::vector<double>& weights,
                    bool targets_fail, random_source& random)
     {
         while (now_ < until_s) {
             now_ += random.exponential(1 / options_.requests_per_second);
-            meet_others();
+            update_known_hosts();
             node& it = pick(weights, random);
             it.retries.count_request(llm, at());
             requests_.push_back(now_);
             if (targets_fail)
-                send_again();
+                send_retries();
         }
     }
 
-    /// The node's process ends, and its next one begins.
+    /// The node's process ends and a new one starts.
     void restart(std::size_t n) { nodes_[n] = {options_.retries, now_}; }
 
-    /// From now on the node counts so many hosts, once it knows the others.
-    void believe(std::size_t n, std::size_t hosts) { nodes_[n].known = hosts; }
+    /// The node counts `hosts` hosts from now on, once it knows the others.
+    void set_known_hosts(std::size_t n, std::size_t hosts)
+    {
+        nodes_[n].known = hosts;
+    }
 
-    /// How far the worst window is beyond the limit; at most 0 where the limit
-    /// holds. The operator takes the requests of the window, of the one
-    /// before, or of the one half a window before, whichever are most.
+    /// By how many retries the worst window exceeds the limit; at most 0 if the
+    /// limit holds. The limit is based on the requests of the window, of the
+    /// one before, or of the one half a window before, whichever are most.
     double worst_excess() const
     {
         double out = -1e9;
@@ -70,8 +72,8 @@
         return out;
     }
 
-    /// Part of the limit that the window from `from_s` on uses.
-    double used_part(double from_s) const
+    /// Share of the limit used by the window from `from_s` on.
+    double used_share(double from_s) const
     {
         return count(retries_, from_s) / allowed_from(from_s);
     }
@@ -104,16 +106,16 @@
         return nodes_.back();
     }
 
-    void meet_others()
+    void update_known_hosts()
     {
         for (node& it : nodes_) {
-            const bool knows_others = now_ - it.started >= acquaintance_s;
+            const bool knows_others = now_ - it.started >= discovery_s;
             const std::size_t known = it.known ? it.known : nodes_.size();
             it.retries.set_hosts(knows_others ? known : 0, at());
         }
     }
 
-    void send_again()
+    void send_retries()
     {
         for (node& it : nodes_)
             while (it.retries.take_retry(llm, at()))
@@ -162,9 +164,9 @@
     fleet all{{}};
 };
 
-// Guards against requests that give the right to a retry twice: to the node
-// that died and to those to which its callers turn.
-TEST(retry_fleet, callers_of_dead_nodes_bring_no_second_allowance)
+// Requests must not earn retries twice: at the node that died and at the nodes
+// that its callers use afterwards.
+TEST(retry_fleet, callers_of_dead_nodes_earn_no_second_budget)
 {
     all.run_until(20, everywhere, false, random);
     all.run_until(21, everywhere, true, random);
@@ -172,9 +174,9 @@
     check_limit(all);
 }
 
-// Guards against a node's next process that spends again what the one before
-// it has spent within the same window.
-TEST(retry_fleet, a_start_brings_no_second_allowance)
+// A restarted process must not spend again what the previous one has spent in
+// the same window.
+TEST(retry_fleet, restart_earns_no_second_budget)
 {
     all.run_until(20, everywhere, false, random);
     all.run_until(21, everywhere, true, random);
@@ -184,9 +186,9 @@
     check_limit(all);
 }
 
-// Guards against most nodes that start anew, twice, while targets turn requests
-// away and what may be sent again is spent.
-TEST(retry_fleet, starts_while_retries_are_spent_stay_below_the_limit)
+// Most nodes restart twice while targets reject requests and the retry budget
+// is being spent.
+TEST(retry_fleet, restarts_during_retries_keep_the_limit)
 {
     all.run_until(20, everywhere, false, random);
     for (const double at_s : {24.0, 27.0}) {
@@ -198,9 +200,9 @@
     check_limit(all);
 }
 
-// Guards against nodes that have just started, know nobody, and take the slack
-// of the whole fleet each.
-TEST(retry_fleet, nodes_that_know_nobody_dont_take_the_whole_slack)
+// Nodes that have just started and know no others must not each take the slack
+// of the whole fleet.
+TEST(retry_fleet, nodes_without_known_hosts_take_no_slack)
 {
     all.run_until(20, everywhere, false, random);
     for (std::size_t i = 0; i < 5; ++i)
@@ -209,9 +211,9 @@
     check_limit(all);
 }
 
-// Guards against callers that move to and fro, as entry answers may have them
-// do, while targets fail.
-TEST(retry_fleet, moving_callers_bring_no_second_allowance)
+// Callers move between nodes while targets fail, as the entry answers that they
+// follow may cause.
+TEST(retry_fleet, moving_callers_earn_no_second_budget)
 {
     all.run_until(20, first_half, false, random);
     all.run_until(20.5, first_half, true, random);
@@ -219,30 +221,30 @@
     check_limit(all);
 }
 
-// Guards against nodes that start in one half of a fleet in two and hear only
-// that half, while the others remember all.
-TEST(retry_fleet, nodes_that_start_in_a_half_stay_below_the_limit)
+// Nodes restart in one half of a partitioned fleet and know only that half,
+// while the others still count all hosts.
+TEST(retry_fleet, restarts_in_a_partition_keep_the_limit)
 {
     all.run_until(20, everywhere, false, random);
     for (std::size_t i = 0; i < 4; ++i) {
         all.restart(i);
-        all.believe(i, 4);
+        all.set_known_hosts(i, 4);
     }
     all.run_until(60, everywhere, true, random);
     check_limit(all);
 }
 
-// Guards against nodes that join, and of which half of the fleet doesn't hear.
-TEST(retry_fleet, nodes_that_join_unheard_stay_below_the_limit)
+// Nodes join, and half of the fleet doesn't learn of them.
+TEST(retry_fleet, unnoticed_joins_keep_the_limit)
 {
     for (std::size_t i = 0; i < 4; ++i)
-        all.believe(i, 5);
+        all.set_known_hosts(i, 5);
     all.run_until(60, everywhere, true, random);
     check_limit(all);
 }
 
-// Any order of starts, moves and failures.
-TEST(retry_fleet, no_order_of_events_passes_the_limit)
+// Random sequences of restarts, moves of callers and failures.
+TEST(retry_fleet, random_events_keep_the_limit)
 {
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         random_source draw(seed);
@@ -262,11 +264,11 @@
     }
 }
 
-// Guards against a limit that is kept by sending almost nothing again.
-TEST(retry_fleet, most_of_the_limit_is_used_while_nobody_dies)
+// Guards against keeping the limit by sending almost no retries.
+TEST(retry_fleet, most_of_the_limit_is_used_without_deaths)
 {
     all.run_until(20, everywhere, false, random);
     all.run_until(40, everywhere, true, random);
     check_limit(all);
-    CHECK(all.used_part(20) > 0.75);
+    CHECK(all.used_share(20) > 0.75);
 }
--- a/libs/dispatch/sample_targets.hpp
+++ b/libs/dispatch/sample_targets.hpp
@@ -1,4 +1,4 @@
-// Engines' entries as tests list them.
+// Sample target entries for tests.
 
 #ifndef FENNELLADDER_DISPATCH_SAMPLE_TARGETS_HPP
 #define FENNELLADDER_DISPATCH_SAMPLE_TARGETS_HPP
@@ -9,7 +9,7 @@
 
 namespace fennelladder::dispatch {
 
-/// Number `n` of service "llm".
+/// Engine number `n` of service "llm".
 inline catalog::target_entry sample_engine(int n, std::uint32_t slots)
 {
     catalog::target_entry out;
--- a/libs/dispatch/target_registry.cpp
+++ b/libs/dispatch/target_registry.cpp
@@ -183,8 +183,8 @@
 
 bool target_registry::is_gone(const target_state& it, instant now)
 {
-    const bool lapsed = it.usable_until && now >= *it.usable_until;
-    return it.gone || it.address_reused || lapsed;
+    const bool expired = it.usable_until && now >= *it.usable_until;
+    return it.gone || it.address_reused || expired;
 }
 
 bool target_registry::is_leaving(const target_state& it)
--- a/libs/dispatch/target_registry_test.cpp
+++ b/libs/dispatch/target_registry_test.cpp
@@ -54,7 +54,7 @@
     }
 };
 
-TEST(target_registry, nodes_agree_where_a_part_is_read)
+TEST(target_registry, nodes_agree_on_the_target_of_a_part)
 {
     target_registry other{{}};
     other.sync(engines(6), false, start);
@@ -75,9 +75,9 @@
         CHECK(n > 20);
 }
 
-// Story: one thing is asked for by everybody. Its target fills up; the next
-// requests go elsewhere and fetch the part instead of reading it.
-TEST(target_registry, a_hot_part_spills_over_and_is_fetched)
+// Many requests share one part. Its target becomes loaded; the next requests go
+// to another target, which fetches the part instead of prefilling it.
+TEST(target_registry, hot_part_spills_over_and_is_fetched)
 {
     const auto request = prompt(5);
     const auto first = registry.choose(request, start, random);
@@ -89,9 +89,9 @@
     CHECK(first->fetch_from.empty());
 }
 
-// Story: a target dies. The first failed connection takes it out of the
-// choice; after its rest one request finds out whether it is back.
-TEST(target_registry, an_unreachable_target_rests_and_is_tried_gently)
+// A target dies. The first failed connection excludes it; after the backoff one
+// request probes whether it works again.
+TEST(target_registry, unreachable_target_is_probed_after_backoff)
 {
     const auto request = prompt(5);
     const target_id dead = chosen(request);
@@ -107,7 +107,7 @@
     CHECK(chosen(request, later) == dead);
 }
 
-TEST(target_registry, all_resting_targets_are_better_than_none)
+TEST(target_registry, targets_in_backoff_are_used_if_there_are_no_others)
 {
     for (int i = 0; i < 6; ++i)
         registry.note_evidence({target_id("i-" + std::to_string(i))},
@@ -115,7 +115,7 @@
     CHECK(!chosen(prompt(5)).empty());
 }
 
-TEST(target_registry, another_life_is_never_sent_to_again)
+TEST(target_registry, reused_address_gets_no_requests)
 {
     const auto request = prompt(5);
     const target_id was = chosen(request);
@@ -124,7 +124,7 @@
     CHECK(chosen(request) != was);
 }
 
-TEST(target_registry, a_leaving_target_gets_nothing_new)
+TEST(target_registry, leaving_target_gets_no_new_requests)
 {
     const auto request = prompt(5);
     auto listed = engines(6);
@@ -134,25 +134,26 @@
     CHECK(chosen(request) != leaves);
 }
 
-// Story: the platform was away and the entries of living targets lapsed. They
-// are used for a moment, until they are back or surely gone.
-TEST(target_registry, lapsed_entries_are_used_for_a_moment)
+// The platform was unreachable and the entries of live targets expired. They
+// stay eligible for a short time, until they are listed again or certainly
+// gone.
+TEST(target_registry, expired_entries_are_used_for_a_short_time)
 {
     registry.sync({}, true, start);
     CHECK(!chosen(prompt(5)).empty());
     CHECK(chosen(prompt(5), start + seconds(2)).empty());
 }
 
-TEST(target_registry, a_removed_target_is_not_used)
+TEST(target_registry, removed_target_is_not_used)
 {
     registry.sync({}, false, start);
     CHECK(chosen(prompt(5)).empty());
 }
 
-// Story: a target's entry was removed after a silence, while a request of this
-// node ran there, and came back: the target lives. As long as the node ran, it
-// sent nothing more there.
-TEST(target_registry, a_target_that_comes_back_is_used)
+// A live target's entry was removed after a silence, while a request of this
+// node ran there, and was listed again. Guards against a node that sends
+// nothing more to this target for the rest of its incarnation.
+TEST(target_registry, target_that_is_listed_again_is_used)
 {
     const auto request = prompt(5);
     const choice made = *registry.choose(request, start, random);
@@ -166,9 +167,9 @@
     CHECK(!registry.may_use(made.target, start));
 }
 
-TEST(target_registry, a_slow_target_is_left_and_found_again)
+TEST(target_registry, slow_target_is_avoided_and_tried_again)
 {
-    // Little is shared, so that nothing but its speed holds requests there.
+    // Little is shared, so that only speed decides where requests go.
     const auto request = prompt(5, 100);
     auto fresh = request;
     fresh.prompt.back().id = 99;
@@ -182,7 +183,7 @@
     CHECK(chosen(fresh, start + seconds(60)) == made->target);
 }
 
-TEST(target_registry, load_of_peers_counts_until_they_are_forgotten)
+TEST(target_registry, load_of_peers_counts_until_they_are_removed)
 {
     const auto request = prompt(5);
     const target_id usual = chosen(request);
@@ -212,7 +213,7 @@
     target_registry registry{{}};
     random_source random{1};
     const routing_request request = prompt(5);
-    choice before; ///< Of the process that started at 100.
+    choice before; ///< The process that started at 100.
 
     void setup() override
     {
@@ -224,8 +225,8 @@
         CHECK(before.start == catalog::target_start(100));
     }
 
-    /// Returns the entries that were replaced.
-    std::vector<catalog::target_entry> starts_again(
+    /// Lists the target as restarted. Returns the entries that were replaced.
+    std::vector<catalog::target_entry> list_restarted(
         std::uint64_t at, const char* address = "10.0.1.1:80")
     {
         return registry.sync(restarted(before.target, at, address), false,
@@ -238,17 +239,17 @@
     }
 };
 
-// Story: a process was shunned, for any reason, and its target started again
-// under its id. What was held against the process kept requests away from the
-// next, which had done nothing.
-TEST(target_restart, nothing_is_held_against_the_next_process)
+// A process was avoided, for any reason, and its target restarted under its id.
+// Guards against state of the old process that keeps requests away from the new
+// one.
+TEST(target_restart, restart_resets_what_kept_requests_away)
 {
     using step =
         void (*)(target_registry&, const choice&, const routing_request&);
     struct row
     {
         const char* what;
-        step shun;
+        step make_avoided;
     };
     const row rows[] = {
         {"unreachable",
@@ -260,7 +261,7 @@
          [](target_registry& it, const choice& made, const routing_request&) {
              it.note_evidence(made.process(), target_evidence::full, start);
          }},
-        {"another life",
+        {"address reused",
          [](target_registry& it, const choice& made, const routing_request&) {
              it.note_evidence(made.process(), target_evidence::other_life,
                               start);
@@ -300,19 +301,19 @@
     for (const row& it : rows) {
         registry = target_registry{{}};
         setup();
-        it.shun(registry, before, request);
+        it.make_avoided(registry, before, request);
         CHECK_TEXT(chosen(request).target != before.target, it.what);
-        starts_again(200);
+        list_restarted(200);
         CHECK_TEXT(chosen(request).target == before.target, it.what);
         CHECK_TEXT(chosen(request).start == catalog::target_start(200),
                    it.what);
     }
 }
 
-// Story: a target had read a long prompt and started again. It was still
-// chosen, and named to others as the place to fetch the prompt from, though it
-// holds nothing.
-TEST(target_restart, what_was_read_before_is_not_expected)
+// A target held a long prompt and restarted. Guards against choosing it for the
+// prompt, and naming it as the target to fetch the prompt from, although it
+// holds nothing any more.
+TEST(target_restart, restart_resets_the_held_parts)
 {
     routing_request own = prompt(5);
     own.prompt.erase(own.prompt.begin(), own.prompt.begin() + 2);
@@ -321,20 +322,20 @@
     const choice first = chosen(own);
     CHECK(first.target == made.target);
     registry.started(first, prompt(5), start);
-    const std::uint32_t to_read = chosen(prompt(5)).work.reading;
-    CHECK(to_read < 500);
+    const std::uint32_t to_prefill = chosen(prompt(5)).work.reading;
+    CHECK(to_prefill < 500);
     registry.sync(restarted(made.target, 200, "10.0.1.1:80"), false, start);
-    CHECK(chosen(prompt(5)).work.reading > to_read);
+    CHECK(chosen(prompt(5)).work.reading > to_prefill);
 }
 
-// Story: requests were under way as the target started again, and end
-// afterwards. Taken off the counts of the next process, they made it look free
-// (or ended the node, whose counts must not fall below nothing).
-TEST(target_restart, what_ends_late_is_not_taken_off_the_next_process)
+// Requests in flight when the target restarted end afterwards. Subtracted from
+// the counts of the new process, they made it look idle (or ended the node by
+// an assertion, since the counts must not become negative).
+TEST(target_restart, requests_of_the_old_process_do_not_change_the_new_counts)
 {
     for (int i = 0; i < 3; ++i)
         registry.started(before, request, start);
-    starts_again(200);
+    list_restarted(200);
     CHECK(registry.own_load().empty());
     choice next = chosen(request);
     registry.started(next, request, start);
@@ -353,9 +354,9 @@
     CHECK(registry.may_use(next.target, start));
 }
 
-// Story: a peer that hasn't heard of the restart tells what it has running at
-// the process before. Counted at the next one, that kept requests away from it.
-TEST(target_restart, a_peers_load_counts_for_its_process)
+// A peer that doesn't know of the restart yet reports its load at the old
+// process. Counted for the new one, that kept requests away from it.
+TEST(target_restart, load_of_a_peer_counts_for_its_process)
 {
     struct row
     {
@@ -363,7 +364,7 @@
         bool counts;
     };
     const row rows[] = {{100, false}, {200, true}, {300, false}, {0, true}};
-    starts_again(200);
+    list_restarted(200);
     for (const row& it : rows) {
         registry.set_peer_load(
             host_id("p"),
@@ -374,20 +375,21 @@
     CHECK(chosen(request).target == before.target);
 }
 
-// Story: a request was tried at a process. Its target started again, alone in
-// its service; a request that may be repeated is sent to the next process.
-TEST(target_restart, a_process_that_was_tried_is_avoided_and_the_next_is_not)
+// A request was tried at a process whose target restarted. An idempotent
+// request may be sent to the new process, which matters if the service has no
+// other target.
+TEST(target_restart, tried_process_is_avoided_and_the_new_one_is_not)
 {
     routing_request again = request;
     again.avoid = {before.process()};
     CHECK(chosen(again).target != before.target);
-    starts_again(200);
+    list_restarted(200);
     CHECK(chosen(again).target == before.target);
 }
 
-// Connections to what a target was are of no use: kept, they would carry
-// requests to a process that is gone, or to another at the address.
-TEST(target_restart, tells_what_was_replaced)
+// Connections to the replaced process or address are stale: if kept, they would
+// carry requests to a process that is gone, or to another one at the address.
+TEST(target_restart, sync_returns_replaced_entries)
 {
     struct row
     {
@@ -406,7 +408,7 @@
     };
     for (const row& it : rows) {
         const auto known = registry.entry_of(before.target);
-        const auto replaced = starts_again(it.start, it.address);
+        const auto replaced = list_restarted(it.start, it.address);
         CHECK_EQUAL_TEXT(it.replaced, !replaced.empty(), it.what);
         if (it.replaced)
             CHECK_TEXT(replaced.at(0) == *known, it.what);
@@ -416,10 +418,10 @@
     }
 }
 
-// Story: requests failed at an address that its target had left, or got there
-// that another life has it. When the list tells the new address, the process
-// is the same and was never out of reach.
-TEST(target_restart, what_an_address_did_ends_with_it)
+// Requests failed at an address that the target had left, or were told that
+// another incarnation uses it. When the new address is listed, the process is
+// the same one and was never unreachable.
+TEST(target_restart, new_address_resets_the_evidence_of_the_old_one)
 {
     for (const auto evidence :
          {target_evidence::unreachable, target_evidence::other_life}) {
@@ -427,14 +429,13 @@
         setup();
         registry.note_evidence(before.process(), evidence, start);
         CHECK(chosen(request).target != before.target);
-        starts_again(100, "10.0.1.2:80");
+        list_restarted(100, "10.0.1.2:80");
         CHECK(chosen(request).target == before.target);
     }
 }
 
-// The same address under another id is another target, of which nothing is
-// known.
-TEST(target_restart, another_id_at_the_address_begins_anew)
+// The same address under another id is another target, with new state.
+TEST(target_restart, another_id_at_the_address_has_new_state)
 {
     registry.note_evidence(before.process(), target_evidence::unreachable,
                            start);
@@ -454,10 +455,11 @@
     STRCMP_EQUAL(before.address.c_str(), chosen(alone).address.c_str());
 }
 
-// Story: a host goes dark. A summary that may not be sent again waits there
-// until its deadline, eight seconds later, and so do the others that were sent
-// after it: nothing has ended, so nothing said that the target was gone.
-TEST(target_registry, a_target_that_fell_silent_gets_no_more)
+// A host disappears without closing its connections. A request that may not be
+// sent again waits there until its deadline, eight seconds later, and so do
+// those sent after it: until one ends, nothing else shows that the target is
+// gone.
+TEST(target_registry, silent_target_gets_no_more_requests)
 {
     const auto request = prompt(5);
     const auto first = registry.choose(request, start, random);
@@ -465,17 +467,17 @@
     CHECK(chosen(request) == first->target);
     const instant later = start + milliseconds(1'001);
     CHECK(chosen(request, later) != first->target);
-    // It was only slow, or it is back.
+    // It was only slow, or it works again.
     registry.note_activity(first->process(), later);
     CHECK(chosen(request, later) == first->target);
-    // Nothing is waited for any more.
+    // No request waits for a first byte any more.
     registry.first_byte(*first, seconds(1), later);
     CHECK(chosen(request, later + seconds(2)) == first->target);
     registry.finished(*first, true, target_evidence::answered, later);
 }
 
-// A target may be alone in its service.
-TEST(target_registry, silence_is_no_reason_to_refuse)
+// A silent target is still used if its service has no other.
+TEST(target_registry, silent_target_is_used_if_there_is_no_other)
 {
     target_registry alone{{}};
     alone.sync(engines(1), false, start);
--- a/libs/prepaid/allotment_record.cpp
+++ b/libs/prepaid/allotment_record.cpp
@@ -110,8 +110,8 @@
     for (const auto& [host, mark] : writers->items()) {
         if (!mark.is_string())
             return fail(error_code::corrupt,
-                        "allotment record: last write of host " + host +
-                            " is not a string");
+                        "allotment record: last write is not a string, host " +
+                            host);
         out.last_write[host_id(host)] = mark.get<write_id>();
     }
     return out;
