--- a/include/fennelladder/dispatch/assignment_table.hpp
+++ b/include/fennelladder/dispatch/assignment_table.hpp
@@ -17,9 +17,9 @@
 //
 // Membership views may differ. Each node that wrongly counts itself among the
 // assigned nodes sends one part more, so only a share of the limit is planned
-// for. The hosts have to include all that were known for long, alive or not: a
-// partitioned node would rank itself first everywhere if it left out the hosts
-// that it can't reach.
+// for. The hosts have to be those known for long, alive or not: a partitioned
+// node would rank itself first everywhere if it left out the hosts that it
+// can't reach.
 //
 // Assigned nodes may be dead or have no callers. A cold target warms up soon,
 // but that a limit has ended shows only in an answer. While no node gets an
--- a/include/fennelladder/dispatch/attempt_policy.hpp
+++ b/include/fennelladder/dispatch/attempt_policy.hpp
@@ -94,7 +94,7 @@
     /// Sends of one request, including those that targets rejected.
     int max_sends = 3;
     int max_failed_connects = 4;
-    /// With less time left, no further attempt is made.
+    /// With less time left, another attempt would be of no use.
     duration min_time_left = milliseconds(60);
 };
 
--- a/include/fennelladder/dispatch/poison_list.hpp
+++ b/include/fennelladder/dispatch/poison_list.hpp
@@ -3,10 +3,10 @@
 //
 //     if (list.is_poison(fingerprint, now))
 //         ... refuse ...
-//     list.note_death(fingerprint, target, now);     // it ran there as that
-//     died for (const poison_record& it : list.recent(span, limit, now))
+//     list.note_death(fingerprint, target, now);  // it ran as the target died
+//     for (const poison_record& it : list.recent(span, limit, now))
 //         ... send to the other nodes ...
-//     list.merge(record, now);                // received from another node
+//     list.merge(record, now);                    // from another node
 //
 // A request is identified by what its caller would send again (method, path,
 // team and body), since each try carries a new id. Only first-hand evidence
--- a/include/fennelladder/dispatch/retry_budget.hpp
+++ b/include/fennelladder/dispatch/retry_budget.hpp
@@ -39,8 +39,9 @@
     double share = 0.2; ///< Retries per request.
     double slack = 50;  ///< Additional retries per window, over all nodes.
     duration window = seconds(10);
-    /// Share of the limit that is used. The rest covers retries and requests in
-    /// flight, which the operator may count in another window than this node.
+    /// Share of the limit that is used. The rest covers what the operator
+    /// counts in another window than this node does: retries in flight, and
+    /// requests that were delayed on their way here.
     double safety_factor = 0.85;
     /// Share of the limit that may be saved for a burst.
     double burst_share = 0.5;
--- a/include/fennelladder/prepaid/urgency_reserve.hpp
+++ b/include/fennelladder/prepaid/urgency_reserve.hpp
@@ -2,8 +2,8 @@
 // more tokens arrive.
 //
 //     urgency_reserve reserve(options);
-//     reserve.note(team, urgency, wanted, now);     // each request, served or
-//     not if (free - wanted < reserve.kept_back(team, urgency, now))
+//     reserve.note(team, urgency, wanted, now);     // whether served or not
+//     if (free - wanted < reserve.kept_back(team, urgency, now))
 //         ... refuse this request ...
 //
 // While the platform is unreachable, a stock lasts for some seconds. If
@@ -13,7 +13,7 @@
 // kinds. So the tokens that more urgent requests are expected to want are kept
 // back from the others.
 //
-// Keeps demand rates and no other state; not thread safe.
+// Keeps no state but the demand rates; not thread safe.
 
 #ifndef FENNELLADDER_PREPAID_URGENCY_RESERVE_HPP
 #define FENNELLADDER_PREPAID_URGENCY_RESERVE_HPP
--- a/libs/dispatch/limited_target_test.cpp
+++ b/libs/dispatch/limited_target_test.cpp
@@ -203,8 +203,8 @@
     }
 }
 
-// Nodes restart and know only half of the fleet, as after a restart in a
-// partition.
+// Nodes that restart in a partition know only half of the fleet. They must keep
+// the limit, too.
 TEST(limited_target, restarts_with_partial_views_keep_the_limit)
 {
     for (const double rate : {1.0, 1.3, 7.5}) {
