--- a/libs/dispatch/attempt_policy.cpp
+++ b/libs/dispatch/attempt_policy.cpp
@@ -11,8 +11,8 @@
     return so_far.way->repeats == catalog::repeat_rule::idempotent;
 }
 
-/// An answer that the caller has begun to receive can only be resumed if it is
-/// a stream of a resumable route.
+/// Whether another attempt may give the answer: any may before the head was
+/// passed on; afterwards only a stream of a resumable route can be resumed.
 bool may_resume(const request_state& so_far)
 {
     return !so_far.head_passed_on ||
--- a/libs/dispatch/attempt_policy_test.cpp
+++ b/libs/dispatch/attempt_policy_test.cpp
@@ -1,5 +1,5 @@
-// Checks the rules that hold whatever the options say over all sequences of
-// attempts that the policy allows, with every possible end of each.
+// Checks the rules that hold whatever the options say over all sequences of up
+// to four attempts, with every possible end of each.
 
 #include "fennelladder/dispatch/attempt_policy.hpp"
 
