--- a/include/fennelladder/catalog/configuration.hpp
+++ b/include/fennelladder/catalog/configuration.hpp
@@ -1,12 +1,13 @@
-// What the operator has put in force, in the form in which a node uses it:
-// routes, services, teams and limits towards callers.
+// The configuration in force, in the form in which a node uses it: routes,
+// services, teams and limits for callers.
 //
-//     const route* way = config.find_route("shop.example", "/tickets/7");
+//     const route* found = config.find_route("shop.example", "/tickets/7");
 //     const team* payer = config.find_team_by_key(key);
 //
-// A configuration is immutable once built; nodes share it by pointer, so that
-// a request keeps the one it began with. Building sorts the routes once;
-// find_route() costs one hash and a walk over the routes of that host name.
+// A configuration is immutable once built. Nodes share it by pointer, so that
+// a request keeps the one it started with. The constructor sorts the routes
+// once; find_route() costs one hash lookup and a scan of the routes of that
+// host name.
 
 #ifndef FENNELLADDER_CATALOG_CONFIGURATION_HPP
 #define FENNELLADDER_CATALOG_CONFIGURATION_HPP
@@ -27,14 +28,15 @@
 
 using route_id = text_id<struct route_tag>;
 
-/// Version of a configuration as its author counts: grows in uneven steps.
+/// Version of a configuration, assigned by its author; increases in uneven
+/// steps.
 using configuration_version = number_id<struct configuration_version_tag>;
 
-/// What may be repeated on a route.
+/// Whether requests of a route may be retried.
 enum class repeat_rule : std::uint8_t
 {
-    idempotent,  ///< May run any number of times.
-    at_most_once ///< May run once per request at most.
+    idempotent,  ///< A request may run any number of times.
+    at_most_once ///< A request may run once at most.
 };
 
 /// One service of a route and its share of the route's requests.
@@ -47,38 +49,41 @@
 struct route
 {
     route_id id;
-    std::string host_name; ///< As callers write it, in lower case.
+    std::string host_name; ///< As in the Host header, in lower case.
     std::string path_prefix;
     repeat_rule repeats = repeat_rule::at_most_once;
-    bool streams = false;    ///< The answer is a series of events.
-    bool resumable = false;  ///< A broken stream may go on elsewhere.
-    bool is_public = false;  ///< Needs no key.
+    bool streams = false; ///< The response is an event stream.
+    /// A broken stream may be resumed at another target.
+    bool resumable = false;
+    bool is_public = false;  ///< Requires no key.
     bool has_prompt = false; ///< Carries a prompt and is paid in tokens.
-    duration timeout{0};     ///< Longest time until the last byte.
-    duration objective{0};   ///< Time to the (first) answer.
-    duration event_gap_objective{0}; ///< Between two events of a stream.
-    int urgency = 0;                 ///< 0 is the most urgent.
-    int max_targets = 1;             ///< Targets that may run one request.
-    /// Where its requests may be run; empty: anywhere.
+    duration timeout{0};     ///< Time limit until the last byte.
+    duration objective{0};   ///< Target latency of the (first) answer.
+    /// Target gap between two events of a stream.
+    duration event_gap_objective{0};
+    int urgency = 0;     ///< 0 is the most urgent.
+    int max_targets = 1; ///< Most targets that may run one request.
+    /// Regions in which its requests may run; empty: any.
     std::vector<region_id> regions;
     std::vector<weighted_service> services;
 };
 
-/// What a service that serves a language model says of its engines.
+/// Properties of the engines of a service that serves a language model.
 struct engine_traits
 {
     std::uint32_t slots = 0;
-    tokens cache_size;                ///< Prompt and answer tokens in memory.
-    std::uint32_t tokens_per_event{}; ///< Answer tokens in one event at most.
+    tokens cache_size; ///< KV cache capacity in prompt and answer tokens.
+    std::uint32_t tokens_per_event{}; ///< Most answer tokens in one event.
 };
 
 struct service
 {
     service_id id;
     std::string health_path;
-    std::uint32_t max_connections = 0; ///< Per target, from all nodes.
-    duration cold_start{0}; ///< A target is cold for so long after its start.
-    double cold_rate = 0;   ///< Requests a second that it bears then; 0: any.
+    std::uint32_t max_connections = 0; ///< Per target, over all nodes.
+    duration cold_start{0}; ///< How long a target stays cold after its start.
+    /// Requests per second that a cold target takes; 0: unlimited.
+    double cold_rate = 0;
     std::optional<engine_traits> engine;
 };
 
@@ -86,12 +91,12 @@
 {
     team_id id;
     std::vector<std::string> keys;
-    std::optional<int> urgency;     ///< Instead of the route's.
-    std::optional<tokens> prepaid;  ///< Total for the day; unset: unmetered.
-    std::vector<region_id> regions; ///< As a route's.
+    std::optional<int> urgency;     ///< Overrides the route's.
+    std::optional<tokens> prepaid;  ///< Daily total; unset: unmetered.
+    std::vector<region_id> regions; ///< As for a route.
 };
 
-/// What a caller may send, and how long it may take.
+/// Limits on the size and duration of a caller's request.
 struct caller_limits
 {
     std::uint32_t header_bytes = 16'384;
@@ -100,25 +105,26 @@
     duration idle_timeout = seconds(15);
 };
 
-/// The parts of a configuration, before they are indexed.
+/// Contents of a configuration, without indexes.
 struct configuration_parts
 {
     configuration_version version;
     std::vector<route> routes;
     std::vector<service> services;
     std::vector<team> teams;
-    bool needs_keys = false; ///< Teams are named: callers must show a key.
+    /// Teams are configured, so callers must present a key.
+    bool needs_keys = false;
     caller_limits limits;
 };
 
-/// Regions in which a request may be run; unset: anywhere. Where both the route
-/// and the team name some, both bind, and none may be left.
+/// Regions in which a request may run; unset: any. If both the route and the
+/// team name regions, only the common ones are allowed, which may be none.
 using allowed_regions = std::optional<std::vector<region_id>>;
 
-/// `payer` may be null. Thread safe.
-allowed_regions regions_for(const route& way, const team* payer);
+/// Regions allowed by the route and its team; `payer` may be null. Thread safe.
+allowed_regions regions_for(const route& matched, const team* payer);
 
-/// Thread safe, since it never changes.
+/// Immutable, therefore thread safe.
 class configuration
 {
 public:
@@ -126,13 +132,13 @@
 
     configuration_version version() const { return parts_.version; }
 
-    /// The route with the longest prefix that begins `path` (without its
-    /// query), or nullptr. `host_name` may carry a port and any case.
+    /// The route with the longest path prefix of `path` (given without its
+    /// query), or nullptr. `host_name` may include a port and be in any case.
     const route* find_route(std::string_view host_name,
                             std::string_view path) const;
 
     /// Regions that all routes of the host name allow; unset: any. For callers
-    /// that ask where to connect before they say on which route.
+    /// that ask which node to connect to before they name a route.
     allowed_regions regions_of_host(std::string_view host_name) const;
 
     const team* find_team_by_key(std::string_view key) const;
--- a/include/fennelladder/catalog/evacuation_list.hpp
+++ b/include/fennelladder/catalog/evacuation_list.hpp
@@ -1,17 +1,17 @@
-// The data centres that the operator has evacuated: their targets get no new
-// work until the operator takes the evacuation back.
+// Data centres that the operator has evacuated: their targets get no new
+// requests until the operator ends the evacuation.
 //
 //     evacuation_list evacuations;
 //     if (evacuations.replace_all({names, as_of}))  // a full listing
-//         ... new choices leave these data centres out ...
+//         ... target selection skips these data centres ...
 //     evacuations.contains(data_center)
 //
-// The whole state is a few names, so nodes tell each other all of it; the
-// later revision holds. It mirrors one linear history and never goes back.
+// The whole state is a few names, so nodes exchange all of it, and the later
+// revision wins. It mirrors one linear history and never goes back.
 //
-// An evacuation of a data centre without targets, or of one that nobody has
-// heard of, is kept like any other: its targets may come later. Of all data
-// centres at once: nothing is sent anywhere.
+// An evacuation of a data centre that has no targets or is unknown is kept
+// like any other: its targets may appear later. If all data centres are
+// evacuated, no request is sent anywhere.
 
 #ifndef FENNELLADDER_CATALOG_EVACUATION_LIST_HPP
 #define FENNELLADDER_CATALOG_EVACUATION_LIST_HPP
@@ -24,11 +24,11 @@
 
 namespace fennelladder::catalog {
 
-/// Data centres evacuated at once at most. More are no deployment's, and would
-/// not fit what nodes tell each other.
+/// Most data centres evacuated at the same time. No deployment has more, and
+/// they wouldn't fit a heartbeat.
 inline constexpr std::size_t max_evacuations = 256;
 
-/// All that is evacuated as of a revision.
+/// All evacuated data centres as of a revision.
 struct evacuation_state
 {
     std::vector<data_center_id> data_centers;
@@ -38,7 +38,7 @@
                            const evacuation_state&) = default;
 };
 
-/// An evacuation was asked for, or taken back.
+/// The operator started or ended an evacuation.
 struct evacuation_change
 {
     data_center_id data_center;
@@ -49,24 +49,24 @@
 class evacuation_list
 {
 public:
-    /// Takes the whole state, in any order; one older than what is known is
-    /// passed over. True if other data centres are evacuated now, or if it is
-    /// the first one taken.
+    /// Replaces the whole state, given in any order; ignores one older than the
+    /// current. Returns true if the set of evacuated data centres changed, or
+    /// if this is the first state.
     bool replace_all(evacuation_state state);
 
-    /// Takes the changes between as_of() and `as_of`, in their order. Returns
-    /// as replace_all().
+    /// Applies the changes between as_of() and `as_of`, in order. Returns as
+    /// replace_all() does.
     /// Precondition: known(), and `changes` is complete for that span.
     bool apply(const std::vector<evacuation_change>& changes, revision as_of);
 
     bool contains(const data_center_id& data_center) const;
 
-    /// Sorted, without repetition.
+    /// Sorted, without duplicates.
     const evacuation_state& state() const { return state_; }
 
     revision as_of() const { return state_.as_of; }
 
-    /// Whether any state was taken yet.
+    /// Whether any state has been received.
     bool known() const { return known_; }
 
 private:
--- a/include/fennelladder/catalog/target_entry.hpp
+++ b/include/fennelladder/catalog/target_entry.hpp
@@ -1,19 +1,18 @@
-// A target as the platform's list names it, and the list as a node follows
-// it.
+// A target as listed by the platform, and a node's replica of the list.
 //
 //     target_list list;
 //     list.replace_all(entries, as_of);       // a full listing
-//     list.apply(changes, as_of);             // what changed since
-//     list.changes_since(revision)            // for a node that follows us
+//     list.apply(changes, as_of);             // incremental changes
+//     list.changes_since(revision)            // for a node that syncs from us
 //
-// A node needs to ask another only if the other's latest_change() is after
-// its own as_of().
+// A node needs to sync from another only if the other's latest_change() is
+// after its own as_of().
 //
-// The list mirrors one linear history: what it holds is what the platform had
-// at `as_of()`, and as_of() never goes back. One thing goes before that: of an
-// id, the process that started last is the one that lives. An entry that names
-// an earlier start is passed over at any revision; a later start is taken from
-// a peer also when its news are old.
+// The list mirrors one linear history: it holds what the platform had at
+// `as_of()`, and as_of() never goes back. One rule takes precedence: of the
+// processes with one id, the one that started last is the live one. An entry
+// with an earlier start is ignored at any revision; a later start is accepted
+// from a peer even if the peer's update is old.
 
 #ifndef FENNELLADDER_CATALOG_TARGET_ENTRY_HPP
 #define FENNELLADDER_CATALOG_TARGET_ENTRY_HPP
@@ -31,11 +30,11 @@
 
 namespace fennelladder::catalog {
 
-/// Revision of the platform's history; one counter for all objects.
+/// Revision of the platform's history; one counter over all objects.
 using revision = number_id<struct revision_tag>;
 
-/// When a target's process started: milliseconds since the Unix epoch by its
-/// own clock; 0: not said. Only starts of one id are compared.
+/// Start time of a target's process: milliseconds since the Unix epoch by its
+/// own clock; 0: unknown. Only starts of the same id are compared.
 using target_start = number_id<struct target_start_tag>;
 
 constexpr bool is_known(target_start start)
@@ -43,8 +42,8 @@
     return start != target_start();
 }
 
-/// One process of a target. A target may start again under its id; what was
-/// learned of one process says nothing of the next.
+/// One process of a target. A target may restart under its id; what was learned
+/// of one process doesn't apply to the next.
 struct target_process
 {
     target_id id;
@@ -54,7 +53,7 @@
                             const target_process&) = default;
 };
 
-/// What one process of a target says of itself.
+/// What one process of a target reports of itself.
 struct target_entry
 {
     target_id id;
@@ -64,35 +63,35 @@
     data_center_id data_center;
     std::uint32_t slots = 1;
     bool leaving = false;
-    duration remaining_warm_up{0}; ///< How much longer it stays slow.
+    duration remaining_warm_up{0}; ///< Remaining time for which it is slow.
 
     target_process process() const { return {id, start}; }
 
     friend bool operator==(const target_entry&, const target_entry&) = default;
 };
 
-/// Limits of what an entry may say. Whatever is beyond them was written by
-/// something else than a target.
-inline constexpr std::size_t max_target_id_bytes = 256; ///< Bytes of an id.
+/// Limits on the values of an entry. An entry beyond them wasn't written by a
+/// target.
+inline constexpr std::size_t max_target_id_bytes = 256; ///< Bytes.
 inline constexpr std::uint32_t max_target_slots = 65'536;
 inline constexpr duration max_warm_up = hours(24);
 
-/// Fails with `corrupt` and the field when an entry can't be used: no id, no
+/// Fails with `corrupt`, naming the field, if an entry is unusable: no id, no
 /// service, an address that isn't IP:port, or a number out of its limits.
 /// Thread safe.
 status check_target(const target_entry& entry);
 
-/// A target appeared or changed, or (without an entry) is gone.
+/// A target was added or changed, or (without an entry) removed.
 struct target_change
 {
     target_id id;
     std::optional<target_entry> entry;
-    /// When it changed; for one that is gone, a revision not before that.
+    /// Revision of the change; for a removal, a revision not before it.
     revision at;
 };
 
-/// The latest changes of a list, complete after `since`: whoever has all up
-/// to there, or more, has all up to `as_of` with them.
+/// The latest changes of a list, complete after `since`: together with a list
+/// as of `since` or later they give the list as of `as_of`.
 struct target_update
 {
     revision since;
@@ -106,57 +105,58 @@
 public:
     using entry_map = std::map<target_id, target_entry>;
 
-    /// Takes a full listing as of `as_of`. Of a listing older than the list
-    /// only later starts are taken (false).
+    /// Replaces the list by a full listing as of `as_of`. If the listing is
+    /// older than the list, takes only later starts from it and returns false.
     bool replace_all(const std::vector<target_change>& entries, revision as_of);
 
-    /// Takes the changes between this list's as_of() and `as_of`. Of changes
-    /// older than the list only later starts are taken (false).
+    /// Applies the changes between this list's as_of() and `as_of`. If they are
+    /// older than the list, takes only later starts from them and returns
+    /// false.
     /// Precondition: `changes` is complete for that span.
     bool apply(const std::vector<target_change>& changes, revision as_of);
 
-    /// Takes news if they follow on what is known; of others only later
-    /// starts. True if something was taken.
+    /// Applies an update that follows on the list without a gap; from any other
+    /// takes only later starts. Returns true if anything was applied.
     bool apply_update(const target_update& news);
 
     /// The latest `most` changes. Precondition: known().
     target_update latest_update(std::size_t most) const;
 
-    /// The changes after `since`, or nothing when that is too long ago and
-    /// only a full listing helps.
+    /// The changes after `since`; unset if the log doesn't reach back that far
+    /// and a full listing is needed.
     std::optional<std::vector<target_change>>
     changes_since(revision since) const;
 
     const entry_map& entries() const { return entries_; }
     revision as_of() const { return as_of_; }
 
-    /// Of the newest change in the list.
+    /// Revision of the newest change in the list.
     revision latest_change() const { return latest_change_; }
 
-    /// Grows with each change taken, whatever its revision.
+    /// Number of changes applied, whatever their revisions.
     std::uint64_t change_count() const { return changes_taken_; }
 
-    /// Whether a first listing was taken.
+    /// Whether a first listing has been received.
     bool known() const { return known_; }
 
 private:
-    /// What is kept of an id, also when its entry is gone.
+    /// Latest known start of an id, kept after its entry is removed.
     struct latest_start
     {
         target_start start;
-        revision at; ///< Of the last change noted.
+        revision at; ///< Revision of the last change noted.
     };
 
-    void note(target_change change);
+    void apply_change(target_change change);
     void log(target_change change);
-    void settle_start(target_change& change) const;
+    void fill_in_start(target_change& change) const;
     bool is_of_earlier_process(const target_change& change) const;
-    bool keeps_later_start(const target_change& change);
+    bool keep_later_start(const target_change& change);
     void remember_start(const target_change& change);
     bool take_later_starts(const std::vector<target_change>& changes);
 
     static constexpr std::size_t log_limit = 1024; ///< Changes kept.
-    /// Ids whose start is remembered, when others than those listed are.
+    /// Most ids whose start is kept, before those without an entry are dropped.
     static constexpr std::size_t start_limit = 4096;
 
     entry_map entries_;
--- a/libs/catalog/configuration.cpp
+++ b/libs/catalog/configuration.cpp
@@ -1,5 +1,5 @@
-// Routes of one host name are kept longest prefix first, so the first match
-// is the longest.
+// Routes of one host name are sorted by descending prefix length, so that the
+// first match is the longest.
 
 #include "fennelladder/catalog/configuration.hpp"
 
@@ -23,7 +23,7 @@
 
 namespace {
 
-/// Keeps the regions that `other` names too, where it names any.
+/// Intersects `to` with `other`; an empty `other` allows any region.
 void narrow(allowed_regions& to, const std::vector<region_id>& other)
 {
     if (other.empty())
@@ -39,10 +39,10 @@
 
 } // namespace
 
-allowed_regions regions_for(const route& way, const team* payer)
+allowed_regions regions_for(const route& matched, const team* payer)
 {
     allowed_regions out;
-    narrow(out, way.regions);
+    narrow(out, matched.regions);
     if (payer != nullptr)
         narrow(out, payer->regions);
     return out;
--- a/libs/catalog/target_entry.cpp
+++ b/libs/catalog/target_entry.cpp
@@ -1,8 +1,8 @@
-// A full listing is turned into changes against what was known, so that the
-// log stays complete whichever way the news came. A change that a watch had
-// missed may be older than the latest one known: it counts as of the listing,
-// else nobody, this node's users of the list included, would see that there
-// is something new.
+// A full listing is converted to changes against the current list, so that the
+// log stays complete whichever way updates arrive. A change that a watch missed
+// may be older than the latest known one. It is recorded as of the listing;
+// otherwise neither peers nor this node's own users of the list would see that
+// there is something new.
 
 #include "fennelladder/catalog/target_entry.hpp"
 
@@ -27,17 +27,18 @@
     if (!is_id(entry.id.str()))
         return fail(error_code::corrupt, "target's id");
     if (!is_id(entry.service.str()))
-        return fail(error_code::corrupt, "target's service");
+        return fail(error_code::corrupt,
+                    "target's service is missing or too long");
     if (!is_ip_and_port(entry.address))
-        return fail(error_code::corrupt, "target's address");
-    // An unknown data centre costs a detour and no more.
+        return fail(error_code::corrupt, "target's address is not IP:port");
+    // Any data centre is accepted: an unknown one only costs a longer route.
     if (entry.data_center.str().size() > max_target_id_bytes)
-        return fail(error_code::corrupt, "target's data centre");
+        return fail(error_code::corrupt, "target's data centre is too long");
     if (entry.slots == 0 || entry.slots > max_target_slots)
-        return fail(error_code::corrupt, "target's slots");
+        return fail(error_code::corrupt, "target's slots are out of range");
     if (entry.remaining_warm_up < duration(0) ||
         entry.remaining_warm_up > max_warm_up)
-        return fail(error_code::corrupt, "target's warm-up");
+        return fail(error_code::corrupt, "target's warm-up is out of range");
     return {};
 }
 
@@ -59,7 +60,7 @@
             changes.push_back({id, std::nullopt, as_of});
     for (const auto& [id, listed_change] : listed) {
         target_change change = *listed_change;
-        settle_start(change);
+        fill_in_start(change);
         const auto old = entries_.find(id);
         if (known_ && !is_of_earlier_process(change))
             change.at = as_of;
@@ -80,7 +81,7 @@
         return false;
     }
     for (const target_change& it : changes)
-        note(it);
+        apply_change(it);
     as_of_ = as_of;
     return true;
 }
@@ -110,10 +111,10 @@
     return out;
 }
 
-void target_list::note(target_change change)
+void target_list::apply_change(target_change change)
 {
-    settle_start(change);
-    if (keeps_later_start(change))
+    fill_in_start(change);
+    if (keep_later_start(change))
         return;
     if (change.entry)
         entries_[change.id] = *change.entry;
@@ -123,9 +124,9 @@
     log(std::move(change));
 }
 
-/// An entry that doesn't say when its process started (a node of an earlier
-/// release passed it on) is of the process that is known.
-void target_list::settle_start(target_change& change) const
+/// An entry without a start time (passed on by a node of an earlier release) is
+/// taken as of the known process.
+void target_list::fill_in_start(target_change& change) const
 {
     const auto known = starts_.find(change.id);
     if (change.entry && !is_known(change.entry->start) &&
@@ -140,11 +141,12 @@
            change.entry->start < known->second.start;
 }
 
-/// Whether the change names an earlier process of its id than is known, which
-/// is therefore over. If the platform has it in place of the later one, nodes
-/// that never saw the later one send to a process that is gone: the entry that
-/// is kept counts as changed, once, and so is told to them.
-bool target_list::keeps_later_start(const target_change& change)
+/// Returns whether the change names an earlier process than the known one, and
+/// is therefore ignored. If the platform lists it in place of the later
+/// process, nodes that never saw the later one send requests to a process that
+/// has ended. The kept entry is therefore logged as changed, once, so that they
+/// learn of it.
+bool target_list::keep_later_start(const target_change& change)
 {
     if (!is_of_earlier_process(change))
         return false;
@@ -157,8 +159,8 @@
     return true;
 }
 
-/// Starts outlive their entries: an entry of an earlier process may arrive
-/// after the later one was removed.
+/// Starts are kept longer than their entries: an entry of an earlier process
+/// may arrive after the later one was removed.
 void target_list::remember_start(const target_change& change)
 {
     latest_start& it = starts_[change.id];
@@ -171,10 +173,11 @@
         });
 }
 
-/// Takes starts later than those listed, whatever their revision: of two nodes
-/// that know different starts, that with the earlier one may have the later
-/// revision. None counts as a change after as_of(): changes between may be
-/// missing, and by latest_change() the list would pass for complete.
+/// Applies entries with a later start than the listed ones, at any revision: of
+/// two nodes that know different starts, the one with the earlier start may
+/// have the later revision. They are logged at as_of() at the latest: changes
+/// in between may be missing, and a later latest_change() would make the list
+/// appear complete.
 bool target_list::take_later_starts(const std::vector<target_change>& changes)
 {
     if (!known_)
@@ -185,15 +188,16 @@
         it.at = std::min(it.at, as_of_);
         if (it.entry && listed != entries_.end() &&
             it.entry->start > listed->second.start)
-            note(std::move(it));
+            apply_change(std::move(it));
     }
     return changes_taken_ != before;
 }
 
-/// The log never goes back. A removal is known only to have happened before
-/// the answer that told it; if the target is back in the same answer, its
-/// entry has an earlier revision. Filtered by revision, a peer that knows the
-/// entry would get the removal alone and lose a target that serves.
+/// Appends to the log, whose revisions never decrease. The revision of a
+/// removal is only known to precede the answer that reported it; if the target
+/// is back in the same answer, its entry has an earlier revision. Filtered by
+/// revision, a peer that has the entry would get only the removal and lose a
+/// live target.
 void target_list::log(target_change change)
 {
     ++changes_taken_;
