--- a/include/fennelladder/catalog/target_entry.hpp
+++ b/include/fennelladder/catalog/target_entry.hpp
@@ -72,7 +72,7 @@
 
 /// Limits on the values of an entry. An entry beyond them wasn't written by a
 /// target.
-inline constexpr std::size_t max_target_id_bytes = 256; ///< Bytes.
+inline constexpr std::size_t max_target_id_bytes = 256;
 inline constexpr std::uint32_t max_target_slots = 65'536;
 inline constexpr duration max_warm_up = hours(24);
 
@@ -117,7 +117,7 @@
 
     /// Applies an update that follows on the list without a gap; from any other
     /// takes only later starts. Returns true if anything was applied.
-    bool apply_update(const target_update& news);
+    bool apply_update(const target_update& update);
 
     /// The latest `most` changes. Precondition: known().
     target_update latest_update(std::size_t most) const;
@@ -134,7 +134,7 @@
     revision latest_change() const { return latest_change_; }
 
     /// Number of changes applied, whatever their revisions.
-    std::uint64_t change_count() const { return changes_taken_; }
+    std::uint64_t change_count() const { return change_count_; }
 
     /// Whether a first listing has been received.
     bool known() const { return known_; }
@@ -161,7 +161,7 @@
 
     entry_map entries_;
     std::map<target_id, latest_start> starts_;
-    std::uint64_t changes_taken_ = 0;
+    std::uint64_t change_count_ = 0;
     revision as_of_;
     revision log_from_; ///< log_ is complete after this revision.
     revision latest_change_;
--- a/libs/catalog/configuration_test.cpp
+++ b/libs/catalog/configuration_test.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-route way(const char* id, const char* host, const char* prefix)
+route make_route(const char* id, const char* host, const char* prefix)
 {
     route out;
     out.id = route_id(id);
@@ -19,10 +19,10 @@
 configuration sample()
 {
     configuration_parts parts;
-    parts.routes = {way("all", "Shop.example", "/"),
-                    way("a", "shop.example", "/a/"),
-                    way("ab", "shop.example", "/a/b/"),
-                    way("other", "desk.example", "/a/b/c/")};
+    parts.routes = {make_route("all", "Shop.example", "/"),
+                    make_route("a", "shop.example", "/a/"),
+                    make_route("ab", "shop.example", "/a/b/"),
+                    make_route("other", "desk.example", "/a/b/c/")};
     team payer;
     payer.id = team_id("t");
     payer.keys = {"k1", "k2"};
@@ -52,41 +52,41 @@
     check("nobody.example", "/", "none");
 }
 
-TEST(configuration, a_host_name_has_no_case_and_maybe_a_port)
+TEST(configuration, host_name_ignores_case_and_port)
 {
     check("SHOP.Example:8080", "/a/", "a");
 }
 
-TEST(configuration, any_key_of_a_team_finds_it)
+TEST(configuration, each_key_of_a_team_finds_it)
 {
     CHECK(config.find_team_by_key("k2") != nullptr);
     CHECK(config.find_team_by_key("k3") == nullptr);
     CHECK(config.find_team_by_key("") == nullptr);
 }
 
-TEST(configuration, regions_of_route_and_team_both_bind)
+TEST(configuration, regions_of_route_and_team_are_intersected)
 {
     const region_id a("a");
     const region_id b("b");
-    route way_in = way("r", "h", "/");
+    route matched = make_route("r", "h", "/");
     team payer;
-    CHECK(!regions_for(way_in, nullptr));
-    CHECK(!regions_for(way_in, &payer));
-    way_in.regions = {a, b};
-    CHECK(regions_for(way_in, &payer) == std::vector({a, b}));
+    CHECK(!regions_for(matched, nullptr));
+    CHECK(!regions_for(matched, &payer));
+    matched.regions = {a, b};
+    CHECK(regions_for(matched, &payer) == std::vector({a, b}));
     payer.regions = {b};
-    CHECK(regions_for(way_in, &payer) == std::vector{b});
-    way_in.regions = {a};
-    CHECK(regions_for(way_in, &payer)->empty());
-    way_in.regions = {};
-    CHECK(regions_for(way_in, &payer) == std::vector{b});
+    CHECK(regions_for(matched, &payer) == std::vector{b});
+    matched.regions = {a};
+    CHECK(regions_for(matched, &payer)->empty());
+    matched.regions = {};
+    CHECK(regions_for(matched, &payer) == std::vector{b});
 }
 
-TEST(configuration, regions_of_a_host_name_are_those_of_all_its_routes)
+TEST(configuration, regions_of_a_host_name_are_allowed_by_all_its_routes)
 {
     configuration_parts parts;
-    parts.routes = {way("1", "h", "/"), way("2", "h", "/x/"),
-                    way("3", "g", "/")};
+    parts.routes = {make_route("1", "h", "/"), make_route("2", "h", "/x/"),
+                    make_route("3", "g", "/")};
     parts.routes[1].regions = {region_id("a")};
     const configuration config(std::move(parts));
     CHECK(config.regions_of_host("H:80") == std::vector{region_id("a")});
--- a/libs/catalog/evacuation_list_test.cpp
+++ b/libs/catalog/evacuation_list_test.cpp
@@ -32,8 +32,8 @@
     CHECK(list.state() == state(7, {"b", "c"}));
 }
 
-// Guards against a late message that ends an evacuation.
-TEST(evacuation_list, an_earlier_state_is_passed_over)
+// Guards against a delayed message that ends an evacuation.
+TEST(evacuation_list, an_earlier_state_is_ignored)
 {
     list.replace_all(state(7, {"a"}));
     CHECK(!list.replace_all(state(6, {})));
@@ -41,14 +41,14 @@
     CHECK(list.as_of() == revision(7));
 }
 
-TEST(evacuation_list, what_names_the_same_is_no_change)
+TEST(evacuation_list, an_equal_state_is_no_change)
 {
     CHECK(list.replace_all(state(5, {})));
     CHECK(!list.replace_all(state(6, {})));
     CHECK(list.as_of() == revision(6));
 }
 
-TEST(evacuation_list, changes_follow_on_what_is_known)
+TEST(evacuation_list, changes_apply_to_the_current_state)
 {
     list.replace_all(state(5, {"a"}));
     const data_center_id a("a");
@@ -59,14 +59,14 @@
     CHECK(list.as_of() == revision(9));
 }
 
-TEST(evacuation_list, nothing_is_known_before_the_first_state)
+TEST(evacuation_list, unknown_before_the_first_state)
 {
     CHECK(!list.known());
     list.replace_all(state(1, {}));
     CHECK(list.known());
 }
 
-TEST(evacuation_list, a_list_without_end_is_cut)
+TEST(evacuation_list, an_oversized_list_is_truncated)
 {
     evacuation_state many{{}, revision(3)};
     for (std::size_t i = 0; i < max_evacuations + 20; ++i)
--- a/libs/catalog/target_entry.cpp
+++ b/libs/catalog/target_entry.cpp
@@ -86,18 +86,18 @@
     return true;
 }
 
-bool target_list::apply_update(const target_update& news)
+bool target_list::apply_update(const target_update& update)
 {
     if (!known_)
         return false;
-    const bool later_start = take_later_starts(news.changes);
-    if (as_of_ < news.since || news.as_of <= as_of_)
+    const bool later_start = take_later_starts(update.changes);
+    if (as_of_ < update.since || update.as_of <= as_of_)
         return later_start;
     std::vector<target_change> unknown;
     std::ranges::copy_if(
-        news.changes, std::back_inserter(unknown),
+        update.changes, std::back_inserter(unknown),
         [&](const target_change& it) { return it.at > as_of_; });
-    return apply(unknown, news.as_of);
+    return apply(unknown, update.as_of);
 }
 
 target_update target_list::latest_update(std::size_t most) const
@@ -182,7 +182,7 @@
 {
     if (!known_)
         return false;
-    const std::uint64_t before = changes_taken_;
+    const std::uint64_t before = change_count_;
     for (target_change it : changes) {
         const auto listed = entries_.find(it.id);
         it.at = std::min(it.at, as_of_);
@@ -190,7 +190,7 @@
             it.entry->start > listed->second.start)
             apply_change(std::move(it));
     }
-    return changes_taken_ != before;
+    return change_count_ != before;
 }
 
 /// Appends to the log, whose revisions never decrease. The revision of a
@@ -200,7 +200,7 @@
 /// live target.
 void target_list::log(target_change change)
 {
-    ++changes_taken_;
+    ++change_count_;
     if (!log_.empty())
         change.at = std::max(change.at, log_.back().at);
     latest_change_ = std::max(latest_change_, change.at);
--- a/libs/catalog/target_entry_test.cpp
+++ b/libs/catalog/target_entry_test.cpp
@@ -15,8 +15,7 @@
     return {entry.id, entry, revision(at)};
 }
 
-/// An entry of the process that started at `start`, which listens at
-/// `address`.
+/// An entry of a process that started at `start` and listens at `address`.
 target_change process(const char* id, std::uint64_t start, std::uint64_t at,
                       const char* address = "10.0.0.1:80")
 {
@@ -50,14 +49,14 @@
     UNSIGNED_LONGS_EQUAL(1, list.entries().size());
 }
 
-TEST(target_list, takes_nothing_but_a_listing_at_first)
+TEST(target_list, requires_a_listing_first)
 {
     target_list list;
     CHECK(!list.apply({there("a", 5)}, revision(10)));
     CHECK(!list.known());
 }
 
-// A node that follows another ends with the same list, whatever it missed.
+// A node that syncs from another ends with the same list, whatever it missed.
 TEST(target_list, a_follower_catches_up_by_changes)
 {
     target_list first;
@@ -74,7 +73,7 @@
     CHECK(!(first.latest_change() > follower.as_of()));
 }
 
-TEST(target_list, one_that_is_too_far_behind_needs_all)
+TEST(target_list, one_that_is_too_far_behind_needs_a_full_listing)
 {
     target_list list;
     list.replace_all({there("a", 3)}, revision(10));
@@ -85,10 +84,11 @@
     CHECK(!list.changes_since(revision(11)).has_value());
 }
 
-// A target is removed after a silence and comes back under its id, both told
-// by one answer of the platform. A follower that knew the entry by then got
-// the removal alone and sent the target nothing more, until the next listing.
-TEST(target_list, a_removal_does_not_overtake_a_return)
+// Guards against a follower that gets only the removal of a target that is
+// removed and added again within one answer of the platform. If the follower
+// already has the new entry, a filter by revision drops it, and the target gets
+// no requests until the next listing.
+TEST(target_list, a_removal_does_not_overtake_a_later_addition)
 {
     target_list first;
     first.replace_all({there("a", 3)}, revision(10));
@@ -101,20 +101,20 @@
     CHECK(follower.entries() == first.entries());
 }
 
-TEST(target_list, news_are_taken_only_if_they_follow_on_what_is_known)
+TEST(target_list, an_update_is_applied_only_without_a_gap)
 {
     struct row
     {
-        std::uint64_t known; ///< The follower's list is as of this.
-        std::size_t most;    ///< Changes told.
+        std::uint64_t known; ///< Revision of the follower's list.
+        std::size_t most;    ///< Most changes in the update.
         bool taken;
     };
     const row rows[] = {
-        {10, 3, true},  // All that happened since.
+        {10, 3, true},  // All changes since.
         {10, 2, false}, // A change in between is missing.
         {11, 2, true},  {12, 2, true}, {13, 2, false}, // Nothing new.
-        {14, 2, false}, // The follower knows more.
-        {12, 0, false}, // Told nothing, and not that nothing happened.
+        {14, 2, false},                                // The follower is ahead.
+        {12, 0, false}, // No changes sent, though there may be some.
     };
     target_list first;
     first.replace_all({there("a", 3), there("b", 4)}, revision(10));
@@ -134,7 +134,7 @@
     }
 }
 
-TEST(target_list, a_node_without_a_listing_takes_no_news)
+TEST(target_list, a_node_without_a_listing_applies_no_update)
 {
     target_list first;
     first.replace_all({there("a", 3)}, revision(10));
@@ -143,10 +143,11 @@
     CHECK(!other.known());
 }
 
-// A watch misses that a target leaves; another change is newer. The listing
-// that is made to heal this found it, but nobody was told: the list's latest
-// change was the same as before, and requests went to the target for good.
-TEST(target_list, what_only_a_listing_shows_is_a_change_as_of_the_listing)
+// Guards against a change that is found only by a listing and isn't passed on.
+// A watch misses that a target is leaving, and another change is newer. If the
+// repairing listing leaves the latest change as it was, peers don't sync and
+// keep sending requests to the target.
+TEST(target_list, a_change_found_by_a_listing_is_as_of_the_listing)
 {
     target_list list;
     list.replace_all({there("a", 3), there("b", 4)}, revision(10));
@@ -160,17 +161,17 @@
     UNSIGNED_LONGS_EQUAL(1, changes->size());
 }
 
-// Story: a target died and started again under its id. A stale listing, a slow
-// peer or a write that was held up names the earlier process afterwards. If
-// that entry replaced the later one, requests went to a process that is gone,
-// and the living one was held to be the old.
-TEST(target_list, the_later_start_holds)
+// Guards against an entry of an earlier process that replaces a later one. A
+// target restarts under its id, and a stale listing, a slow peer or a delayed
+// write then names the earlier process. Requests would go to a process that has
+// ended, and the live one would be taken for the old one.
+TEST(target_list, the_later_start_wins)
 {
     struct row
     {
         const char* what;
         target_change comes;
-        std::uint64_t start; ///< Held afterwards; 0: the id isn't listed.
+        std::uint64_t start; ///< Afterwards; 0: the id isn't listed.
         const char* address;
     };
     const row rows[] = {
@@ -212,9 +213,9 @@
     }
 }
 
-// Story: the entry of the later process was removed. A write of the earlier
-// one that was held up comes after that: its process is over all the same.
-TEST(target_list, a_start_outlives_its_entry)
+// A delayed write of an earlier process arrives after the entry of the later
+// process was removed. It must be ignored: its process has ended.
+TEST(target_list, a_start_is_kept_after_its_entry)
 {
     target_list list;
     list.replace_all({process("a", 200, 5)}, revision(10));
@@ -225,11 +226,11 @@
     UNSIGNED_LONGS_EQUAL(200, start_of(list, "a"));
 }
 
-// Story: a held-up write of the earlier process replaced the later one's entry
-// on the platform. A node that saw the later one keeps it; one that listed
-// afterwards knows only the earlier, at the higher revision. Filtered by
-// revision, the two never agreed.
-TEST(target_list, two_that_know_different_starts_settle_on_the_later)
+// Guards against two nodes that never converge. A delayed write of an earlier
+// process replaces the later one's entry on the platform. A node that saw the
+// later one keeps it; one that lists afterwards has only the earlier one, at
+// the higher revision. A filter by revision would keep them apart.
+TEST(target_list, nodes_with_different_starts_converge_on_the_later)
 {
     target_list saw_both;
     saw_both.replace_all({process("a", 200, 5)}, revision(10));
@@ -246,11 +247,11 @@
         UNSIGNED_LONGS_EQUAL(200, start_of(*list, "a"));
 }
 
-// Story: news tell a later start, but a change before them was lost. The start
-// is taken; if the list then named the revision of the news as its latest
-// change, it would pass for complete up to there, and the lost change would be
-// asked for by nobody.
-TEST(target_list, a_start_taken_early_does_not_hide_what_was_missed)
+// Guards against a lost change that no node requests. An update contains a
+// later start, but a change before it was lost. The start is applied; if the
+// list then reported the update's revision as its latest change, it would
+// appear complete up to there.
+TEST(target_list, a_start_applied_early_does_not_hide_a_missed_change)
 {
     target_list first;
     first.replace_all({process("a", 100, 5), there("b", 4)}, revision(10));
@@ -266,8 +267,8 @@
     CHECK(other.latest_change() == first.latest_change());
 }
 
-// A start that is kept is told once, not at each listing.
-TEST(target_list, what_is_kept_does_not_fill_the_log)
+// A kept start is logged once, not at each listing.
+TEST(target_list, a_kept_start_does_not_fill_the_log)
 {
     target_list list;
     list.replace_all({process("a", 200, 5)}, revision(10));
