--- a/include/fennelladder/mesh/messages.hpp
+++ b/include/fennelladder/mesh/messages.hpp
@@ -79,7 +79,7 @@
     std::string peer_address;
     catalog::configuration_version configuration; ///< In force at the sender.
     catalog::revision targets_changed; ///< Latest change in its list; 0: none.
-    bool platform_reached = false;     ///< It recently got an answer.
+    bool platform_reached = false;     ///< The platform recently answered.
     double requests_per_second = 0;    ///< Recently accepted from callers.
     double capacity = 0; ///< Requests per second that it can handle.
     /// Time since its copy was last confirmed as current; unset: never.
@@ -185,8 +185,8 @@
     catalog::configuration_version configuration;
     catalog::revision targets_as_of;
     sync_part part = sync_part::both;
-    std::string peer_address; ///< Of the requesting node, to be named to others
-                              ///< as a source.
+    /// Of the requesting node, to be named to others as a source.
+    std::string peer_address;
 };
 
 struct sync_reply
@@ -213,8 +213,8 @@
 /// overflow, or one peer's message costs the others unbounded memory.
 inline constexpr std::int32_t max_list_elements = 16'384; ///< Of a list.
 inline constexpr std::size_t max_id_bytes = 256;          ///< Of ids.
-inline constexpr std::size_t max_heartbeat_rows =
-    256; ///< Of a list in a heartbeat.
+/// Of a list in a heartbeat.
+inline constexpr std::size_t max_heartbeat_rows = 256;
 inline constexpr tokens max_token_amount(1'000'000'000'000'000);
 inline constexpr double max_request_rate = 1e9; ///< Per second.
 inline constexpr double max_fleets_lost = 1000;
--- a/include/fennelladder/mesh/source_choice.hpp
+++ b/include/fennelladder/mesh/source_choice.hpp
@@ -1,11 +1,11 @@
 // Selects the node to fetch an update from, and when to retry.
 //
-//     source_backoff rests;
-//     const auto ready = rests.available(sources, now);
+//     source_backoff backoff;
+//     const auto ready = backoff.available(sources, now);
 //     if (ready.empty()) ... wait a little ...
 //     const std::string address = choose_source(ready, own_place, random);
 //     ... fetch ...
-//     rests.note(address, fetch_result::busy, now, random);
+//     backoff.note(address, fetch_result::busy, now, random);
 //
 // Failure it guards against: all nodes learn of an update at the same moment
 // and all ask the same node, which serves none of them. The choice is random,
--- a/include/fennelladder/mesh/transfer_slots.hpp
+++ b/include/fennelladder/mesh/transfer_slots.hpp
@@ -88,8 +88,8 @@
     struct transfer
     {
         instant started;
-        instant
-            last_sent; ///< The last chunk; the start of the transfer if none.
+        /// Time of the last chunk, or of the start if none was sent.
+        instant last_sent;
         bool was_paced = false; ///< The last pacing_delay() wasn't 0.
     };
 
--- a/include/fennelladder/mesh/watch_policy.hpp
+++ b/include/fennelladder/mesh/watch_policy.hpp
@@ -1,9 +1,9 @@
 // Decides whether a node polls the platform itself for one kind of update.
 //
-//     watch_policy duty(staleness_limits_for(bound, update_size::bulk),
-//                       random.unit());
-//     switch (duty.decide({.rank = rank, .age = freshness.age(now)})) ...
-//     duty.record_success(...);                // or record_failure()
+//     watch_policy policy(staleness_limits_for(bound, update_size::bulk),
+//                         random.unit());
+//     switch (policy.decide({.rank = rank, .age = freshness.age(now)})) ...
+//     policy.record_success(...);              // or record_failure()
 //
 // In a healthy fleet the two nodes that rank first watch the platform, and all
 // others receive updates from them. This only saves calls; correctness doesn't
@@ -93,7 +93,7 @@
     /// `draw` is this node's random number for its factor, from 0 to 1.
     watch_policy(staleness_limits limits, double draw);
 
-    watch_reason decide(const watch_inputs& view);
+    watch_reason decide(const watch_inputs& inputs);
 
     /// Records that the platform answered a call begun `elapsed` ago; `age` is
     /// the age of this node's data just before the answer. A node that asked
@@ -107,7 +107,7 @@
     void record_failure() { is_substitute_ = false; }
 
 private:
-    bool is_stale(const watch_inputs& view) const;
+    bool is_stale(const watch_inputs& inputs) const;
 
     staleness_limits limits_;
     double draw_;
--- a/libs/mesh/transfer_slots.cpp
+++ b/libs/mesh/transfer_slots.cpp
@@ -68,10 +68,10 @@
                                       instant now)
 {
     const auto own = transfers_.find(id);
-    const bool yield = must_yield(id, now);
+    const bool must_wait = must_yield(id, now);
     next_send_ = std::max(next_send_, now - max_burst);
     duration wait = std::max<duration>(next_send_ - now, duration(0));
-    if (yield)
+    if (must_wait)
         wait = std::max<duration>(wait, yield_wait);
     if (own != transfers_.end())
         own->second.was_paced = wait > duration(0);
--- a/libs/mesh/watch_policy.cpp
+++ b/libs/mesh/watch_policy.cpp
@@ -76,21 +76,21 @@
     : limits_(limits), draw_(std::clamp(draw, 0.0, 1.0))
 {}
 
-bool watch_policy::is_stale(const watch_inputs& view) const
+bool watch_policy::is_stale(const watch_inputs& inputs) const
 {
-    const double factor = limit_factor(view.size, draw_);
-    return view.age > part_of(limits_.stale_after, factor) ||
-           view.announced_for > part_of(limits_.overdue_after, factor);
+    const double factor = limit_factor(inputs.size, draw_);
+    return inputs.age > part_of(limits_.stale_after, factor) ||
+           inputs.announced_for > part_of(limits_.overdue_after, factor);
 }
 
-watch_reason watch_policy::decide(const watch_inputs& view)
+watch_reason watch_policy::decide(const watch_inputs& inputs)
 {
     reason_ = watch_reason::none;
-    if (view.rank < watcher_count)
+    if (inputs.rank < watcher_count)
         reason_ = watch_reason::ranked;
-    else if (!view.age)
+    else if (!inputs.age)
         reason_ = watch_reason::unknown;
-    else if (is_substitute_ || is_stale(view))
+    else if (is_substitute_ || is_stale(inputs))
         reason_ = watch_reason::stale;
     if (reason_ != watch_reason::stale)
         is_substitute_ = false;
