--- a/libs/mesh/discovery_test.cpp
+++ b/libs/mesh/discovery_test.cpp
@@ -1,8 +1,8 @@
-// How the nodes of a fleet that starts anew find each other, in virtual time.
+// How the nodes of a restarted fleet discover each other, in virtual time.
 //
-// A node begins with the addresses that its settings name and those that the
-// store listed when it registered. The list may be a copy some seconds old, so
-// nodes that start together miss each other in it.
+// A node starts with the addresses in its settings and those that the store
+// listed when it registered. The list may be a copy some seconds old, so nodes
+// that start together are missing from each other's lists.
 
 #include "fennelladder/base/random.hpp"
 #include "fennelladder/mesh/peer_view.hpp"
@@ -20,7 +20,7 @@
 constexpr instant start = instant(seconds(100));
 constexpr duration tick = milliseconds(50);
 
-/// Nodes with their rosters, over a network that loses one datagram in fifty
+/// Nodes with their peer views, over a network that loses one datagram in fifty
 /// and otherwise delivers at once.
 class starting_fleet
 {
@@ -28,36 +28,36 @@
     explicit starting_fleet(int n)
     {
         for (int i = 0; i < n; ++i)
-            rosters_.emplace_back(host_id(name(i)), peer_view_options{});
+            views_.emplace_back(host_id(name(i)), peer_view_options{});
     }
 
-    void learn(int at, int other) { rosters_[at].add_addresses({name(other)}); }
+    void learn(int at, int other) { views_[at].add_addresses({name(other)}); }
 
     void run(duration length)
     {
         for (const instant end = now_ + length; now_ < end; now_ += tick)
             for (int from = 0; from < size(); ++from)
-                for (const std::string& to : rosters_[from].due(now_))
+                for (const std::string& to : views_[from].due(now_))
                     send(from, to, options().introductions_per_heartbeat);
     }
 
-    /// The fewest other nodes that any node takes for alive.
+    /// Smallest number of other nodes that any node sees as alive.
     std::size_t fewest_known() const
     {
-        std::size_t out = rosters_.size();
-        for (const mesh::peer_view& it : rosters_)
+        std::size_t out = views_.size();
+        for (const mesh::peer_view& it : views_)
             out = std::min(out, it.alive(now_).size());
         return out;
     }
 
-    int size() const { return static_cast<int>(rosters_.size()); }
+    int size() const { return static_cast<int>(views_.size()); }
 
 private:
     static std::string name(int i) { return "n" + std::to_string(i); }
 
-    const peer_view_options& options() const { return rosters_[0].options(); }
+    const peer_view_options& options() const { return views_[0].options(); }
 
-    node_heartbeat beacon_of(int i, std::size_t introductions)
+    node_heartbeat heartbeat_of(int i, std::size_t introductions)
     {
         node_heartbeat out;
         out.host = host_id(name(i));
@@ -65,27 +65,27 @@
         out.sequence = ++sequence_;
         out.state = node_state::ready;
         out.peer_address = name(i);
-        out.heard = rosters_[i].recent_peers(now_);
-        out.introduced = rosters_[i].introductions(introductions, now_);
+        out.heard = views_[i].recent_peers(now_);
+        out.introduced = views_[i].introductions(introductions, now_);
         return out;
     }
 
-    /// A node that hears of a new one answers with a beacon of its own.
+    /// A node that hears a new one answers with a heartbeat of its own.
     void send(int from, const std::string& to, std::size_t introductions)
     {
         const int at = std::stoi(to.substr(1));
         if (random_.below(50) == 0)
             return;
-        const node_heartbeat message = beacon_of(from, introductions);
-        const bool is_new = rosters_[at].on_heartbeat(message, now_).new_node;
+        const node_heartbeat message = heartbeat_of(from, introductions);
+        const bool is_new = views_[at].on_heartbeat(message, now_).new_node;
         std::vector<std::string> others = message.introduced;
         std::erase(others, name(at));
-        rosters_[at].add_addresses(others);
+        views_[at].add_addresses(others);
         if (is_new)
             send(at, name(from), options().introductions);
     }
 
-    std::vector<mesh::peer_view> rosters_;
+    std::vector<mesh::peer_view> views_;
     std::uint64_t sequence_ = 0;
     random_source random_{11};
     instant now_ = start;
@@ -95,12 +95,12 @@
 
 TEST_GROUP(discovery){};
 
-// Story: ninety-five hosts start within a moment. Each lists the store's copy
-// from before the last half of them had registered, and its settings name three
-// more. Of the 94 others a node heard 46 all day: callers were refused for want
-// of tokens that nodes held which their own had never heard of, and sixteen
-// nodes took themselves for one of the eight that write.
-TEST(discovery, nodes_that_start_together_all_find_each_other)
+// Guards against incomplete discovery. Ninety-five hosts start together; each
+// reads a copy of the store from before the last half of them registered, and
+// its settings name three more. A node then heard 46 of the 94 others for good:
+// callers were refused for lack of tokens that unknown nodes held, and sixteen
+// nodes took themselves for one of the eight writers.
+TEST(discovery, nodes_that_start_together_all_discover_each_other)
 {
     for (const int n : {8, 30, 95, 200}) {
         starting_fleet all(n);
@@ -111,7 +111,7 @@
             for (int other = 3; other < at - n / 2; ++other)
                 all.learn(at, other);
         }
-        // A store is given ten seconds before callers come.
+        // The store has ten seconds before callers arrive.
         all.run(seconds(8));
         LONGS_EQUAL(n - 1, all.fewest_known());
     }
--- a/libs/mesh/freshness_test.cpp
+++ b/libs/mesh/freshness_test.cpp
@@ -16,7 +16,7 @@
 
 TEST_GROUP(mesh_freshness){};
 
-TEST(mesh_freshness, what_was_never_confirmed_has_no_age)
+TEST(mesh_freshness, unconfirmed_data_has_no_age)
 {
     CHECK(!freshness().age(at(5)));
 }
@@ -38,8 +38,8 @@
     CHECK(it.age(at(300)) == milliseconds(0));
 }
 
-// Two nodes that hear nothing but each other must not keep each other young.
-TEST(mesh_freshness, nodes_that_confirm_each_other_grow_old_together)
+// Two nodes that hear only each other must not keep each other fresh.
+TEST(mesh_freshness, nodes_that_confirm_each_other_age_together)
 {
     freshness a;
     freshness b;
@@ -52,20 +52,21 @@
     CHECK(b.age(at(1000)) == seconds(1));
 }
 
-// Story: sixty nodes pass each other's ages on, a hundred hops a second on the
-// quickest way, and the time under way counts for nothing. Cut off from the
-// platform, all believed to know the newest.
-TEST(mesh_freshness, nodes_that_confirm_each_other_slowly_grow_old_too)
+// Guards against ages that don't grow over many hops. Sixty nodes pass on each
+// other's ages, a hundred hops a second on the fastest path. If transit time
+// doesn't count, all believe their data to be current although the platform is
+// unreachable.
+TEST(mesh_freshness, nodes_that_confirm_each_other_with_delay_age_too)
 {
-    constexpr int under_way = 10;
+    constexpr int transit_ms = 10;
     freshness a;
     freshness b;
     a.confirm(at(0));
-    for (int now = 0; now < 1000; now += 2 * under_way) {
+    for (int now = 0; now < 1000; now += 2 * transit_ms) {
         const duration told = *a.age(at(now));
-        b.confirm(at(now + under_way) - told - mesh::hop_allowance);
-        const duration back = *b.age(at(now + under_way));
-        a.confirm(at(now + 2 * under_way) - back - mesh::hop_allowance);
+        b.confirm(at(now + transit_ms) - told - mesh::hop_allowance);
+        const duration back = *b.age(at(now + transit_ms));
+        a.confirm(at(now + 2 * transit_ms) - back - mesh::hop_allowance);
     }
     CHECK(a.age(at(1000)) == seconds(1));
 }
--- a/libs/mesh/messages_test.cpp
+++ b/libs/mesh/messages_test.cpp
@@ -69,8 +69,8 @@
     return {out.id, out, catalog::revision(at)};
 }
 
-/// Entries that no target can have written.
-std::vector<catalog::target_change> senseless()
+/// Changes with entries that no target can have written.
+std::vector<catalog::target_change> invalid_changes()
 {
     using catalog::target_entry;
     const std::vector<std::function<void(target_entry&)>> faults = {
@@ -83,25 +83,27 @@
         [](target_entry& it) { it.remaining_warm_up = seconds(-1); },
         [](target_entry& it) { it.remaining_warm_up = hours(24 * 365 * 200); }};
     std::vector<catalog::target_change> out;
-    for (const auto& spoil : faults) {
+    for (const auto& corrupt : faults) {
         out.push_back(usable(("x" + std::to_string(out.size())).c_str(), 11));
-        spoil(*out.back().entry);
+        corrupt(*out.back().entry);
     }
     return out;
 }
 
-/// All rows between two usable ones are removals, and no row is missing.
-void check_between_usable(const std::vector<catalog::target_change>& got)
+/// Checks that all rows between two usable ones are removals, and none is
+/// missing.
+void check_invalid_between_usable(
+    const std::vector<catalog::target_change>& got)
 {
-    UNSIGNED_LONGS_EQUAL(senseless().size() + 2, got.size());
+    UNSIGNED_LONGS_EQUAL(invalid_changes().size() + 2, got.size());
     CHECK(got.front().entry && got.back().entry);
     for (std::size_t i = 1; i + 1 < got.size(); ++i)
         CHECK(!got[i].entry);
 }
 
-std::vector<catalog::target_change> between_usable()
+std::vector<catalog::target_change> invalid_between_usable()
 {
-    auto out = senseless();
+    auto out = invalid_changes();
     out.insert(out.begin(), usable("i-1", 11));
     out.push_back(usable("i-2", 12));
     return out;
@@ -111,7 +113,7 @@
 
 TEST_GROUP(mesh_messages){};
 
-TEST(mesh_messages, a_beacon_survives_its_spelling)
+TEST(mesh_messages, a_heartbeat_survives_encoding)
 {
     datagram message;
     message.heartbeat = sample();
@@ -151,8 +153,8 @@
     STRCMP_EQUAL("10.0.0.2:7000", it.introduced.at(0).c_str());
 }
 
-// Guards against evacuations that end since a part of their list can't be read.
-TEST(mesh_messages, evacuations_of_which_a_part_cannot_be_are_unsaid)
+// Guards against evacuations that end because a part of their list is invalid.
+TEST(mesh_messages, evacuations_with_an_invalid_part_are_dropped)
 {
     const std::vector<std::function<void(catalog::evacuation_state&)>> faults =
         {[](auto& it) { it.as_of = catalog::revision(); },
@@ -163,10 +165,10 @@
              it.data_centers.resize(catalog::max_evacuations + 1,
                                     data_center_id("d"));
          }};
-    for (const auto& spoil : faults) {
+    for (const auto& corrupt : faults) {
         datagram message;
         message.heartbeat = sample();
-        spoil(*message.heartbeat->evacuations);
+        corrupt(*message.heartbeat->evacuations);
         const auto got = decode_datagram(encode(message));
         CHECK(got && got->heartbeat);
         CHECK(!got->heartbeat->evacuations);
@@ -174,10 +176,10 @@
     }
 }
 
-// Story: a node of an earlier release, or a damaged datagram, tells a start
-// below 0. Taken as a number it would be later than any, and no process of that
-// target would be believed again.
-TEST(mesh_messages, a_start_below_0_is_none)
+// Guards against a negative start, from a node of an earlier release or a
+// damaged datagram. Converted to unsigned it would be later than any other, and
+// no later process of that target would be accepted.
+TEST(mesh_messages, a_negative_start_is_unknown)
 {
     datagram message;
     message.heartbeat = sample();
@@ -191,7 +193,7 @@
     CHECK(!is_known(got->heartbeat->poison.at(0).deaths.at(0).start));
 }
 
-TEST(mesh_messages, transfers_survive_their_spelling)
+TEST(mesh_messages, transfers_survive_encoding)
 {
     datagram message;
     message.request = {node_incarnation(1), transfer_number(2), team_id("t"),
@@ -204,8 +206,8 @@
     CHECK(got->grant->amount == tokens(250));
 }
 
-// A negative amount would make tokens at one of the two ends.
-TEST(mesh_messages, a_negative_amount_is_no_message)
+// A negative amount would create tokens at one of the two nodes.
+TEST(mesh_messages, a_negative_amount_is_rejected)
 {
     datagram message;
     message.grant = {node_incarnation(1), transfer_number(2), team_id("t"),
@@ -213,7 +215,7 @@
     CHECK(!decode_datagram(encode(message)));
 }
 
-TEST(mesh_messages, a_list_of_targets_survives_its_spelling)
+TEST(mesh_messages, a_list_of_targets_survives_encoding)
 {
     sync_reply reply;
     reply.configuration = "{}";
@@ -233,8 +235,8 @@
     CHECK(got->targets.at(1).at == catalog::revision(20));
 }
 
-// Bytes from anywhere are a message or an error, never a crash.
-TEST(mesh_messages, damaged_bytes_end_nothing)
+// Arbitrary bytes decode to a message or an error, and never crash.
+TEST(mesh_messages, damaged_bytes_do_not_crash)
 {
     datagram message;
     message.heartbeat = sample();
@@ -251,7 +253,7 @@
     }
 }
 
-TEST(mesh_messages, a_question_survives_its_spelling)
+TEST(mesh_messages, a_sync_request_survives_encoding)
 {
     for (const sync_part part :
          {sync_part::both, sync_part::targets, sync_part::configuration}) {
@@ -266,7 +268,7 @@
     }
 }
 
-TEST(mesh_messages, a_packed_configuration_survives_its_spelling)
+TEST(mesh_messages, a_packed_configuration_survives_encoding)
 {
     sync_reply reply;
     reply.packed_configuration = std::string("\0\xff packed", 9);
@@ -277,7 +279,7 @@
     CHECK(got->configuration.empty());
 }
 
-TEST(mesh_messages, a_busy_reply_survives_its_spelling)
+TEST(mesh_messages, a_busy_reply_survives_encoding)
 {
     sync_reply reply;
     reply.busy = true;
@@ -289,8 +291,8 @@
     CHECK(got->served_configuration == reply.served_configuration);
 }
 
-// A question cut short is no question for less.
-TEST(mesh_messages, cut_short_is_no_message)
+// A truncated message must not be read as a shorter one.
+TEST(mesh_messages, truncated_bytes_are_rejected)
 {
     const std::string ask = encode(
         sync_request{catalog::configuration_version(7), catalog::revision(90),
@@ -306,28 +308,28 @@
         CHECK(!decode_sync_reply(reply.substr(0, n)));
 }
 
-// Story: a node of another release believes an entry that this one wouldn't,
-// and tells it. The row says that the target isn't as it was known; passed
-// over, the older entry would stay in force here.
-TEST(mesh_messages, a_target_that_cannot_be_is_told_as_gone)
+// A node of another release may accept and pass on an entry that this one
+// rejects. The row shows that the target has changed; if it were dropped, the
+// older entry would stay in force here.
+TEST(mesh_messages, an_invalid_target_is_reported_as_removed)
 {
     datagram message;
     message.heartbeat = sample();
-    message.heartbeat->target_update->changes = between_usable();
+    message.heartbeat->target_update->changes = invalid_between_usable();
     const auto got = decode_datagram(encode(message));
     CHECK(got && got->heartbeat && got->heartbeat->target_update);
-    check_between_usable(got->heartbeat->target_update->changes);
-    UNSIGNED_LONGS_EQUAL(senseless().size(), got->invalid_parts);
+    check_invalid_between_usable(got->heartbeat->target_update->changes);
+    UNSIGNED_LONGS_EQUAL(invalid_changes().size(), got->invalid_parts);
     sync_reply reply;
     reply.targets_as_of = catalog::revision(20);
-    reply.targets = between_usable();
+    reply.targets = invalid_between_usable();
     const auto listed = decode_sync_reply(encode(reply));
     CHECK(listed.has_value());
-    check_between_usable(listed->targets);
-    UNSIGNED_LONGS_EQUAL(senseless().size(), listed->invalid_parts);
+    check_invalid_between_usable(listed->targets);
+    UNSIGNED_LONGS_EQUAL(invalid_changes().size(), listed->invalid_parts);
 }
 
-TEST(mesh_messages, a_row_of_nothing_is_left_out)
+TEST(mesh_messages, an_invalid_row_is_dropped)
 {
     datagram message;
     message.heartbeat = sample();
@@ -358,9 +360,10 @@
     UNSIGNED_LONGS_EQUAL(12, got->invalid_parts);
 }
 
-// Story: one beacon claims a configuration of version -1. Read as the largest
-// number there is, every node would ask that peer for it from then on.
-TEST(mesh_messages, a_beacon_that_claims_what_cannot_be_is_no_message)
+// Guards against a heartbeat with configuration version -1. Converted to the
+// largest unsigned number, it would make every node request it from that peer
+// from then on.
+TEST(mesh_messages, a_heartbeat_with_invalid_fields_is_rejected)
 {
     const std::vector<std::function<void(node_heartbeat&)>> faults = {
         [](node_heartbeat& it) { it.host = host_id(); },
@@ -372,16 +375,16 @@
         [](node_heartbeat& it) {
             it.targets_changed = catalog::revision(UINT64_MAX);
         }};
-    for (const auto& spoil : faults) {
+    for (const auto& corrupt : faults) {
         datagram message;
         message.heartbeat = sample();
-        spoil(*message.heartbeat);
+        corrupt(*message.heartbeat);
         CHECK(!decode_datagram(encode(message)));
     }
 }
 
-// What isn't a number has no place in an order of nodes.
-TEST(mesh_messages, rates_are_numbers_from_zero_on)
+// Nodes can't be ordered by NaN.
+TEST(mesh_messages, rates_are_finite_and_not_negative)
 {
     for (const double rate : {std::nan(""), HUGE_VAL, -HUGE_VAL, -1.0, 1e300}) {
         datagram message;
@@ -396,8 +399,8 @@
     }
 }
 
-// A caller would be sent there.
-TEST(mesh_messages, a_callers_address_that_is_none_is_left_out)
+// Callers would be redirected to it.
+TEST(mesh_messages, an_invalid_caller_address_is_dropped)
 {
     datagram message;
     message.heartbeat = sample();
@@ -406,9 +409,9 @@
     CHECK(got && got->heartbeat->caller_address.empty());
 }
 
-// Story: an empty row takes a byte on the wire and hundreds in memory. Four
-// megabytes of them, as many as an answer may have, take hundreds.
-TEST(mesh_messages, a_list_longer_than_any_fleet_is_no_message)
+// An empty row takes one byte on the wire and hundreds in memory. Four
+// megabytes of them, the limit of an answer, would take hundreds of megabytes.
+TEST(mesh_messages, an_oversized_list_is_rejected)
 {
     sync_reply reply;
     reply.targets_as_of = catalog::revision(20);
@@ -418,9 +421,9 @@
     CHECK(!decode_sync_reply(encode(reply)));
 }
 
-// Story: one datagram names thousands of deaths, hosts and addresses. Each is
-// looked up among all that are known, and callers wait meanwhile.
-TEST(mesh_messages, a_beacon_has_no_more_rows_than_a_fleet_needs)
+// Guards against a datagram with thousands of deaths, hosts and addresses. Each
+// is looked up among all known ones, which would delay callers.
+TEST(mesh_messages, lists_of_a_heartbeat_are_truncated)
 {
     datagram message;
     message.heartbeat = sample();
@@ -434,7 +437,7 @@
          std::vector(many, catalog::target_process{target_id("i-1"), {}})});
     it.introduced.assign(many, "10.0.0.2:7000");
     it.heard.assign(many, {node_incarnation(78), milliseconds(40)});
-    // A part of these wouldn't be news that are complete.
+    // A truncated update wouldn't be complete, so it is dropped.
     it.target_update->changes.assign(many, usable("i-1", 11));
     const auto got = decode_datagram(encode(message));
     CHECK(got && got->heartbeat);
--- a/libs/mesh/peer_view_test.cpp
+++ b/libs/mesh/peer_view_test.cpp
@@ -12,11 +12,12 @@
 
 constexpr instant start = instant(seconds(100));
 
-node_heartbeat from(int i, std::uint64_t sequence = 1, std::uint64_t life = 1)
+node_heartbeat from(int i, std::uint64_t sequence = 1,
+                    std::uint64_t incarnation = 1)
 {
     node_heartbeat out;
     out.host = host_id("n" + std::to_string(i));
-    out.life = node_incarnation(life);
+    out.life = node_incarnation(incarnation);
     out.sequence = sequence;
     out.state = node_state::ready;
     out.peer_address = "10.0.0." + std::to_string(i) + ":7000";
@@ -31,14 +32,14 @@
     mesh::peer_view nodes{host_id("n0"), {}};
 };
 
-TEST(peer_view, a_node_is_news_once_a_life)
+TEST(peer_view, a_node_is_new_once_per_incarnation)
 {
     CHECK(nodes.on_heartbeat(from(1), start).new_node);
     CHECK(!nodes.on_heartbeat(from(1, 2), start).new_node);
     CHECK(nodes.on_heartbeat(from(1, 1, 2), start).new_node);
 }
 
-TEST(peer_view, a_process_that_didnt_leave_has_died)
+TEST(peer_view, an_incarnation_that_ends_without_leaving_has_died)
 {
     CHECK(!nodes.on_heartbeat(from(1), start).died);
     CHECK(nodes.on_heartbeat(from(1, 1, 2), start).died);
@@ -48,7 +49,7 @@
     CHECK(!nodes.on_heartbeat(from(1, 1, 3), start).died);
 }
 
-TEST(peer_view, a_late_beacon_changes_nothing)
+TEST(peer_view, an_out_of_order_heartbeat_changes_nothing)
 {
     nodes.on_heartbeat(from(1, 5), start);
     node_heartbeat late = from(1, 4);
@@ -65,7 +66,7 @@
     UNSIGNED_LONGS_EQUAL(0, nodes.alive(start + milliseconds(1100)).size());
 }
 
-TEST(peer_view, seeds_are_tried_until_somebody_answers_there)
+TEST(peer_view, seeds_are_probed_until_a_node_answers)
 {
     nodes.add_addresses({"10.0.0.1:7000", "10.0.0.2:7000"});
     UNSIGNED_LONGS_EQUAL(1, nodes.due(start).size());
@@ -75,13 +76,11 @@
     UNSIGNED_LONGS_EQUAL(2, due.size());
 }
 
-// Story: the nodes that watch the platform are cut off from it. Others have
-// to take over, and all have to agree on who.
-// Story: all nodes of a large fleet are killed and start again. Each knows the
-// others' addresses from the platform and has heard nobody. With one of them
-// tried four times a second, a hundred nodes needed half a minute to find each
-// other; till then each believed to be nearly alone.
-TEST(peer_view, many_unanswered_addresses_are_all_tried_within_seconds)
+// Guards against slow discovery after a restart of a large fleet. Each node has
+// the others' addresses from the platform and has heard from none. Probing one
+// address four times a second, a hundred nodes needed half a minute to find
+// each other, and each saw almost no peers until then.
+TEST(peer_view, many_unanswered_addresses_are_all_probed_within_seconds)
 {
     std::vector<std::string> all;
     for (int i = 1; i <= 99; ++i)
@@ -94,6 +93,8 @@
     UNSIGNED_LONGS_EQUAL(99, tried.size());
 }
 
+// When the nodes that watch the platform lose it, others have to take over, and
+// all nodes have to agree on which.
 TEST(peer_view, those_that_reach_the_platform_rank_first)
 {
     node_heartbeat cut = from(1);
@@ -105,10 +106,10 @@
     CHECK(nodes.rank("x", false, 0, start) >= 2);
 }
 
-// Story: a configuration of a thousand routes is sent to sixty nodes by the
-// three that watch the platform. They were small hosts; the copies took eight
-// seconds on their links, and callers were served by what was no longer in
-// force.
+// Guards against small hosts that distribute a large configuration. Three small
+// hosts that watched the platform sent a configuration of a thousand routes to
+// sixty nodes, which took eight seconds on their links; callers were served
+// from an outdated one meanwhile.
 TEST(peer_view, large_hosts_rank_before_small_ones)
 {
     for (int i = 1; i <= 20; ++i) {
@@ -118,7 +119,8 @@
     }
     CHECK(nodes.rank("x", true, 100, start) >= 4);
     CHECK(nodes.rank("x", true, 400, start) <= 4);
-    // One that is cut off ranks behind all that aren't, however large.
+    // One that doesn't reach the platform ranks behind all that do, however
+    // large.
     UNSIGNED_LONGS_EQUAL(20, nodes.rank("x", false, 400, start));
 }
 
@@ -134,7 +136,8 @@
     CHECK(!nodes.classify_size(100, start).large);
     DOUBLES_EQUAL(0.2, nodes.classify_size(100, start).large_fraction, 1e-9);
     DOUBLES_EQUAL(0.3, nodes.classify_size(400, start).large_fraction, 1e-9);
-    // The large ones are cut off: the small ones are the largest left.
+    // The large ones don't reach the platform, so the small ones are the
+    // largest.
     for (int i = 1; i <= 2; ++i) {
         node_heartbeat it = from(i, 2);
         it.capacity = 400;
@@ -145,7 +148,7 @@
     DOUBLES_EQUAL(0.8, nodes.classify_size(100, start).large_fraction, 1e-9);
 }
 
-TEST(peer_view, ranks_are_agreed_on)
+TEST(peer_view, nodes_agree_on_ranks)
 {
     constexpr int n = 6;
     std::vector<std::size_t> ranks;
@@ -160,19 +163,19 @@
         UNSIGNED_LONGS_EQUAL(i, ranks[i]);
 }
 
-TEST(peer_view, one_leader_is_agreed_on_and_follows_the_platform)
+TEST(peer_view, nodes_agree_on_one_leader_that_reaches_the_platform)
 {
     constexpr int n = 6;
-    // All reach the platform but node 2, and then all but those that led.
+    // All but node 2 reach the platform, then all but the previous leaders.
     std::set<int> cut{2};
     for (int round = 0; round < 3; ++round) {
         std::set<host_id> leaders;
         for (int self = 0; self < n; ++self) {
             mesh::peer_view it(host_id("n" + std::to_string(self)), {});
             for (int i = 0; i < n; ++i) {
-                node_heartbeat said = from(i);
-                said.platform_reached = !cut.contains(i);
-                it.on_heartbeat(said, start);
+                node_heartbeat message = from(i);
+                message.platform_reached = !cut.contains(i);
+                it.on_heartbeat(message, start);
             }
             const bool reached = !cut.contains(self);
             const peer_record* first = it.leader("x", reached, 0, start);
@@ -189,7 +192,7 @@
 
 namespace {
 
-/// Rosters of a whole fleet in virtual time, over a network that loses one
+/// Peer views of a whole fleet in virtual time, over a network that loses one
 /// datagram in twenty.
 class fleet
 {
@@ -197,19 +200,19 @@
     explicit fleet(int n)
     {
         for (int i = 0; i < n; ++i)
-            rosters_.emplace_back(host_id(name(i)), peer_view_options{});
+            views_.emplace_back(host_id(name(i)), peer_view_options{});
         for (int i = 0; i < n; ++i)
             for (int from = 0; from < n; ++from)
-                rosters_[i].on_heartbeat(beacon_of(from), now_);
+                views_[i].on_heartbeat(heartbeat_of(from), now_);
     }
 
     void kill(int i) { dead_.insert(i); }
 
-    /// Pairs of living nodes of which one takes the other for dead, as a share
-    /// of all looks while `length` passes.
+    /// Runs for `length`. Returns the fraction of checks of one live node by
+    /// another that found it dead.
     double run(duration length)
     {
-        std::size_t looks = 0;
+        std::size_t checks = 0;
         std::size_t wrong = 0;
         const instant end = now_ + length;
         for (; now_ < end; now_ += milliseconds(50)) {
@@ -220,30 +223,30 @@
                 continue;
             for (int at = 0; at < size(); ++at)
                 if (!dead_.contains(at)) {
-                    const std::size_t living = size() - dead_.size() - 1;
-                    const std::size_t seen = rosters_[at].alive(now_).size();
-                    looks += living;
-                    wrong += living - std::min(living, seen);
+                    const std::size_t live = size() - dead_.size() - 1;
+                    const std::size_t seen = views_[at].alive(now_).size();
+                    checks += live;
+                    wrong += live - std::min(live, seen);
                 }
         }
-        return static_cast<double>(wrong) / static_cast<double>(looks);
+        return static_cast<double>(wrong) / static_cast<double>(checks);
     }
 
-    /// Nodes that take `i` for alive.
-    int believers(int i)
+    /// Number of live nodes that see `i` as alive.
+    int count_believing_alive(int i)
     {
         int out = 0;
         for (int at = 0; at < size(); ++at)
-            for (const peer_record* it : rosters_[at].alive(now_))
+            for (const peer_record* it : views_[at].alive(now_))
                 out += !dead_.contains(at) && it->last.host.str() == name(i);
         return out;
     }
 
 private:
     static std::string name(int i) { return "n" + std::to_string(i); }
-    int size() const { return static_cast<int>(rosters_.size()); }
+    int size() const { return static_cast<int>(views_.size()); }
 
-    node_heartbeat beacon_of(int i)
+    node_heartbeat heartbeat_of(int i)
     {
         node_heartbeat out;
         out.host = host_id(name(i));
@@ -251,20 +254,20 @@
         out.sequence = ++sequence_;
         out.state = node_state::ready;
         out.peer_address = name(i);
-        out.heard = rosters_[i].recent_peers(now_);
+        out.heard = views_[i].recent_peers(now_);
         return out;
     }
 
     void send(int from)
     {
-        for (const std::string& to : rosters_[from].due(now_)) {
+        for (const std::string& to : views_[from].due(now_)) {
             const int at = std::stoi(to.substr(1));
             if (random_.below(20) != 0 && !dead_.contains(at))
-                rosters_[at].on_heartbeat(beacon_of(from), now_);
+                views_[at].on_heartbeat(heartbeat_of(from), now_);
         }
     }
 
-    std::vector<mesh::peer_view> rosters_;
+    std::vector<mesh::peer_view> views_;
     std::set<int> dead_;
     std::uint64_t sequence_ = 0;
     random_source random_{7};
@@ -273,10 +276,11 @@
 
 } // namespace
 
-// Story: one of sixty nodes loses power. Each of the others hears it every 1.5
-// s and waited for four beacons: for 6 s callers were sent there, and its part
-// in watching the platform was nobody's. In a fleet of 200 it was 20 s.
-TEST(peer_view, a_dead_node_is_noticed_within_seconds_in_a_large_fleet)
+// Guards against slow failure detection in a large fleet. In a fleet of sixty,
+// a node hears each other one every 1.5 s; waiting for four heartbeats, callers
+// were sent to a dead node for 6 s and its share of watching the platform was
+// left undone. In a fleet of 200 it took 20 s.
+TEST(peer_view, a_dead_node_is_detected_within_seconds_in_a_large_fleet)
 {
     struct row
     {
@@ -289,11 +293,11 @@
         all.run(seconds(1));
         all.kill(3);
         all.run(it.noticed);
-        LONGS_EQUAL(0, all.believers(3));
+        LONGS_EQUAL(0, all.count_believing_alive(3));
     }
 }
 
-TEST(peer_view, living_nodes_are_not_taken_for_dead_in_a_large_fleet)
+TEST(peer_view, live_nodes_are_not_taken_for_dead_in_a_large_fleet)
 {
     for (const int n : {8, 60, 100}) {
         fleet all(n);
@@ -302,9 +306,9 @@
     }
 }
 
-// Guards against nodes that agree on less than they could: what large hosts are
-// chosen for mustn't hang on whom a node heard just now.
-TEST(peer_view, large_hosts_are_known_for_long_and_large_members_live)
+// Guards against needless disagreement: the choice among large hosts must not
+// depend on which nodes were heard most recently.
+TEST(peer_view, large_hosts_are_retained_and_large_members_are_alive)
 {
     for (int i = 1; i <= 4; ++i) {
         node_heartbeat it = from(i);
@@ -321,7 +325,7 @@
     CHECK(nodes.large_members(100, later).empty());
 }
 
-TEST(peer_view, a_large_fleet_sends_no_more_beacons)
+TEST(peer_view, a_large_fleet_sends_no_more_heartbeats)
 {
     for (int i = 1; i <= 200; ++i)
         nodes.on_heartbeat(from(i), start);
@@ -332,9 +336,9 @@
     CHECK(sent >= 300);
 }
 
-// Guards against the halves of a fleet in two that share a limit among as many
-// hosts each as they hear.
-TEST(peer_view, hosts_count_for_long_after_their_last_word)
+// Guards against the parts of a partitioned fleet that each share a limit only
+// among the hosts they hear.
+TEST(peer_view, hosts_count_long_after_their_last_heartbeat)
 {
     nodes.on_heartbeat(from(1), start);
     nodes.on_heartbeat(from(2), start);
@@ -346,8 +350,8 @@
     UNSIGNED_LONGS_EQUAL(1, nodes.host_count());
 }
 
-// Guards against a node that starts in one half of a fleet, and finds the
-// others only in the platform's list.
+// Guards against a node that starts in one part of a partitioned fleet, and has
+// the others only from the platform's list.
 TEST(peer_view, hosts_that_never_answered_count)
 {
     nodes.add_addresses({"10.0.0.1:7000", "10.0.0.2:7000"});
--- a/libs/mesh/source_choice_test.cpp
+++ b/libs/mesh/source_choice_test.cpp
@@ -12,7 +12,7 @@
 const data_center_id far("boston");
 const instant start = from_nanoseconds(1'000'000'000);
 
-/// How often each is chosen in 10,000 choices.
+/// How often each source is chosen in 10,000 draws.
 std::map<std::string, int> choices(const std::vector<update_source>& sources)
 {
     random_source random(5);
@@ -26,7 +26,7 @@
 
 TEST_GROUP(source_choice){};
 
-TEST(source_choice, follows_capacity_and_place)
+TEST(source_choice, follows_capacity_and_data_center)
 {
     struct row
     {
@@ -59,10 +59,10 @@
     STRCMP_EQUAL("a", only.c_str());
 }
 
-// Story: 59 nodes heard of a configuration from the same beacons and all asked
-// the largest of those that had it; its link carried none of the transfers to
-// the end.
-TEST(source_choice, nodes_that_know_the_same_ask_different_ones)
+// Guards against requests that concentrate on one source. 59 nodes learned of a
+// configuration from the same heartbeats and all asked the largest node that
+// had it; its link completed none of the transfers.
+TEST(source_choice, nodes_with_the_same_sources_ask_different_ones)
 {
     std::vector<update_source> sources;
     sources.reserve(5);
@@ -77,7 +77,7 @@
         CHECK(asked[it.address] >= 4 && asked[it.address] <= 24);
 }
 
-TEST(source_choice, questions_to_one_source_stay_rare)
+TEST(source_choice, requests_to_one_source_are_limited)
 {
     CHECK(request_interval(60, 1) == milliseconds(120));
     CHECK(request_interval(60, 3) == milliseconds(50));
@@ -103,14 +103,14 @@
     CHECK(last_large <= milliseconds(15));
     CHECK(first_small >= milliseconds(15));
     CHECK(last_small > milliseconds(140) && last_small <= milliseconds(150));
-    // Where all are large, they don't ask at once either.
+    // If all are large, they don't ask at once either.
     duration last{0};
     for (int i = 0; i < 1'000; ++i)
         last = std::max(last, initial_delay(true, 1, 340, 1, random));
     CHECK(last > milliseconds(140));
 }
 
-TEST(source_choice, one_that_brought_nothing_rests_longer_each_time)
+TEST(source_choice, backoff_grows_with_each_failure)
 {
     struct row
     {
@@ -127,29 +127,29 @@
     const std::vector<update_source> both{{"a", near, 1}, {"b", near, 1}};
     for (const row& it : rows) {
         random_source random(1);
-        source_backoff rests;
-        rests.note("a", it.end, start, random);
+        source_backoff backoff;
+        backoff.note("a", it.end, start, random);
         CHECK_EQUAL(it.end == fetch_result::done ? 2U : 1U,
-                    rests.available(both, start).size());
-        CHECK_EQUAL(2U, rests.available(both, start + it.first).size());
+                    backoff.available(both, start).size());
+        CHECK_EQUAL(2U, backoff.available(both, start + it.first).size());
         for (int i = 0; i < 6; ++i)
-            rests.note("a", it.end, start, random);
-        CHECK_EQUAL(2U, rests.available(both, start + it.last).size());
+            backoff.note("a", it.end, start, random);
+        CHECK_EQUAL(2U, backoff.available(both, start + it.last).size());
         const instant early = start + it.last / 3 - milliseconds(1);
         CHECK_EQUAL(it.end == fetch_result::done ? 2U : 1U,
-                    rests.available(both, early).size());
+                    backoff.available(both, early).size());
     }
 }
 
-TEST(source_choice, rests_are_forgotten)
+TEST(source_choice, failures_are_forgotten)
 {
     random_source random(1);
-    source_backoff rests;
-    CHECK_EQUAL(1, rests.note("a", fetch_result::busy, start, random));
-    CHECK_EQUAL(2, rests.note("a", fetch_result::busy, start, random));
-    CHECK_EQUAL(0, rests.note("a", fetch_result::done, start, random));
-    CHECK_EQUAL(1, rests.note("a", fetch_result::busy, start, random));
+    source_backoff backoff;
+    CHECK_EQUAL(1, backoff.note("a", fetch_result::busy, start, random));
+    CHECK_EQUAL(2, backoff.note("a", fetch_result::busy, start, random));
+    CHECK_EQUAL(0, backoff.note("a", fetch_result::done, start, random));
+    CHECK_EQUAL(1, backoff.note("a", fetch_result::busy, start, random));
     CHECK_EQUAL(
-        1, rests.note("b", fetch_result::busy, start + seconds(60), random));
-    UNSIGNED_LONGS_EQUAL(1, rests.size());
+        1, backoff.note("b", fetch_result::busy, start + seconds(60), random));
+    UNSIGNED_LONGS_EQUAL(1, backoff.size());
 }
--- a/libs/mesh/spread_test.cpp
+++ b/libs/mesh/spread_test.cpp
@@ -1,6 +1,6 @@
-// How long a configuration takes from one node to all, in virtual time: who
-// may send, how fast, whom it names, whom the others ask and when. Links and
-// the time to read a configuration are modelled; the rest is the product's.
+// How long a configuration takes to spread from one node to all, in virtual
+// time: admission, pacing, referrals, source selection and retries. Links and
+// the time to read a configuration are simulated; the rest is the real code.
 
 #include "fennelladder/mesh/source_choice.hpp"
 #include "fennelladder/mesh/transfer_slots.hpp"
@@ -14,13 +14,14 @@
 
 namespace {
 
-/// 4,450 routes, packed.
+/// 4,450 routes, compressed.
 constexpr std::size_t configuration_bytes = 126'000;
-constexpr std::size_t piece = 16'384;
+constexpr std::size_t chunk_bytes = 16'384;
 constexpr double small_link = 10e6;
 constexpr double large_link = 200e6;
 constexpr duration round_trip = milliseconds(5);
-/// 31 ms of a core, on a host with an eighth of one, and with half of one.
+/// 31 ms of CPU time, on a host with an eighth of a core and one with half a
+/// core.
 constexpr duration small_time_to_read = milliseconds(250);
 constexpr duration large_time_to_read = milliseconds(60);
 const data_center_id place("austin");
@@ -47,7 +48,7 @@
         }
     }
 
-    /// Until the last node has it.
+    /// Runs until the last node has the configuration; returns the time taken.
     duration spread_for(duration limit)
     {
         const instant start = queue_.now();
@@ -73,8 +74,8 @@
 
         double link;
         transfer_slots slots;
-        source_backoff rests;
-        std::vector<std::size_t> knows; ///< Nodes that have it.
+        source_backoff backoff;
+        std::vector<std::size_t> knows; ///< Nodes known to have it.
         bool has_it = false;
         std::size_t asked = 0;
         std::size_t sent = 0;
@@ -96,7 +97,7 @@
         for (const std::size_t k : it.knows)
             sources.push_back({std::to_string(k), place, nodes_[k].link});
         const std::string address = choose_source(
-            it.rests.available(sources, queue_.now()), place, random_);
+            it.backoff.available(sources, queue_.now()), place, random_);
         if (address.empty())
             return ask_later(i);
         queue_.after(round_trip,
@@ -115,18 +116,18 @@
         node& source = nodes_[k];
         ++source.asked;
         if (!source.has_it)
-            return turned_away(k, i, fetch_result::not_newer);
+            return reject(k, i, fetch_result::not_newer);
         const auto slot = source.slots.begin(queue_.now());
         if (slot)
             return send({k, i, *slot, configuration_bytes});
         for (const std::string& it : source.slots.served(version))
             learn(i, std::stoul(it));
-        turned_away(k, i, fetch_result::busy);
+        reject(k, i, fetch_result::busy);
     }
 
-    void turned_away(std::size_t k, std::size_t i, fetch_result end)
+    void reject(std::size_t k, std::size_t i, fetch_result end)
     {
-        nodes_[i].rests.note(std::to_string(k), end, queue_.now(), random_);
+        nodes_[i].backoff.note(std::to_string(k), end, queue_.now(), random_);
         ask_later(i);
     }
 
@@ -142,21 +143,21 @@
         if (it.left == 0)
             return arrived(it);
         node& source = nodes_[it.from];
-        const std::size_t bytes = std::min(it.left, piece);
+        const std::size_t bytes = std::min(it.left, chunk_bytes);
         const duration wait =
             source.slots.pacing_delay(it.slot, bytes, queue_.now());
         if (wait > duration(0))
             return queue_.after(wait, [this, it] { send(it); });
         it.left -= bytes;
-        // One link carries all of a node's transfers, one after the other.
+        // One link carries all of a node's transfers in sequence.
         source.link_free = std::max(source.link_free, queue_.now()) +
-                           span_of(bytes, source.link);
-        const duration slowest = span_of(bytes, nodes_[it.to].link);
+                           time_on_link(bytes, source.link);
+        const duration slowest = time_on_link(bytes, nodes_[it.to].link);
         queue_.at(std::max(source.link_free, queue_.now() + slowest),
                   [this, it] { send(it); });
     }
 
-    static duration span_of(std::size_t bytes, double link)
+    static duration time_on_link(std::size_t bytes, double link)
     {
         return from_seconds(static_cast<double>(bytes) * 8 / link);
     }
@@ -182,10 +183,10 @@
 
 TEST_GROUP(spread){};
 
-// Story: 59 nodes fetched 293 kB from one small host, over a link of 10
-// Mbit/s, and nobody had it for 2.5 s. The bound is 3 s, and a configuration
-// may be three times as large.
-TEST(spread, a_configuration_reaches_everybody_from_one_small_host)
+// Guards against concurrent transfers that all finish late. 59 nodes fetched
+// 293 kB from one small host over a link of 10 Mbit/s, and none had it within
+// 2.5 s. The bound is 3 s, and a configuration may be three times as large.
+TEST(spread, a_configuration_reaches_all_nodes_from_one_small_host)
 {
     struct row
     {
@@ -203,8 +204,8 @@
             const duration took = all.spread_for(seconds(10));
             UNSIGNED_LONGS_EQUAL(0, all.left());
             CHECK(took < it.limit);
-            // Questions alone must not take the first one's processor, nor
-            // must it send to everybody.
+            // Requests alone must not saturate the first node's processor, nor
+            // must it serve all others itself.
             CHECK(all.asked_first() < it.nodes * 5);
             CHECK(all.sent_by_first() < 20);
         }
--- a/libs/mesh/stock_table_test.cpp
+++ b/libs/mesh/stock_table_test.cpp
@@ -11,7 +11,7 @@
 constexpr instant start = instant(seconds(100));
 const team_id team("t");
 
-node_heartbeat saying(const char* host, int free, int spent = 0)
+node_heartbeat heartbeat_with(const char* host, int free, int spent = 0)
 {
     node_heartbeat out;
     out.host = host_id(host);
@@ -28,12 +28,12 @@
 
     void setup() override
     {
-        known.on_heartbeat(saying("a", 100, 5), start);
-        known.on_heartbeat(saying("b", 300, 7), start + seconds(1));
+        known.on_heartbeat(heartbeat_with("a", 100, 5), start);
+        known.on_heartbeat(heartbeat_with("b", 300, 7), start + seconds(1));
     }
 };
 
-TEST(stock_table, the_richest_that_was_not_tried_is_named)
+TEST(stock_table, largest_holder_skips_those_tried)
 {
     CHECK(known.largest_holder(team, {}, start) == host_id("b"));
     CHECK(known.largest_holder(team, {host_id("b")}, start) == host_id("a"));
@@ -41,24 +41,24 @@
     CHECK(!known.largest_holder(team_id("other"), {}, start));
 }
 
-TEST(stock_table, old_words_do_not_count)
+TEST(stock_table, old_heartbeats_do_not_count)
 {
     const instant since = start + milliseconds(500);
     CHECK(!known.largest_holder(team, {host_id("b")}, since));
     CHECK(known.sum(team, {}, since).free == tokens(300));
 }
 
-TEST(stock_table, what_was_asked_for_counts_as_gone_until_the_next_word)
+TEST(stock_table, a_deduction_lasts_until_the_next_heartbeat)
 {
     known.deduct(host_id("b"), team, tokens(250));
     CHECK(known.largest_holder(team, {}, start) == host_id("a"));
     known.deduct(host_id("b"), team, tokens(250));
     CHECK(known.sum(team, {}, start).free == tokens(100));
-    known.on_heartbeat(saying("b", 200), start + seconds(2));
+    known.on_heartbeat(heartbeat_with("b", 200), start + seconds(2));
     CHECK(known.largest_holder(team, {}, start) == host_id("b"));
 }
 
-TEST(stock_table, sums_are_over_all_and_over_some)
+TEST(stock_table, sums_are_over_all_and_over_a_subset)
 {
     const std::array some{host_id("a"), host_id("c")};
     const stock_totals sum = known.sum(team, some, start);
@@ -69,13 +69,13 @@
 
 TEST(stock_table, a_leaving_node_holds_nothing)
 {
-    node_heartbeat leaving = saying("b", 300);
+    node_heartbeat leaving = heartbeat_with("b", 300);
     leaving.state = node_state::leaving;
     known.on_heartbeat(leaving, start + seconds(2));
     CHECK(known.largest_holder(team, {}, start) == host_id("a"));
 }
 
-TEST(stock_table, what_died_with_a_process_is_told_once)
+TEST(stock_table, the_balances_of_a_dead_process_are_returned_once)
 {
     const auto lost = known.forget(host_id("b"));
     UNSIGNED_LONGS_EQUAL(1, lost.size());
--- a/libs/mesh/text_compression_test.cpp
+++ b/libs/mesh/text_compression_test.cpp
@@ -22,28 +22,28 @@
 
 } // namespace
 
-TEST_GROUP(packed_text){};
+TEST_GROUP(text_compression){};
 
-TEST(packed_text, survives_the_way)
+TEST(text_compression, round_trip)
 {
     for (const std::size_t routes : {0, 1, 20, 10'000}) {
         const std::string text = sample(routes);
-        const auto packed = compress_text(text);
-        CHECK(packed.has_value());
-        const auto back = decompress_text(*packed, limit);
+        const auto compressed = compress_text(text);
+        CHECK(compressed.has_value());
+        const auto back = decompress_text(*compressed, limit);
         CHECK(back.has_value());
         CHECK(*back == text);
     }
 }
 
-TEST(packed_text, is_a_fraction_of_a_configuration)
+TEST(text_compression, shrinks_a_configuration)
 {
     const std::string text = sample(1'000);
     CHECK(compress_text(text)->size() * 4 < text.size());
 }
 
-// A few kilobytes that stand for more than the host's memory.
-TEST(packed_text, that_unpacks_to_too_much_is_given_up)
+// Guards against a few kilobytes that expand to more than the host's memory.
+TEST(text_compression, decompression_stops_at_the_limit)
 {
     const auto bomb = compress_text(std::string(100 * limit, ' '));
     CHECK(bomb->size() < limit);
@@ -55,7 +55,7 @@
     CHECK(!decompress_text(*above, limit));
 }
 
-TEST(packed_text, cut_short_or_with_more_behind_is_unreadable)
+TEST(text_compression, truncated_or_extended_bytes_are_rejected)
 {
     const std::string good = *compress_text(sample(100));
     for (std::size_t n = 0; n < good.size(); ++n)
@@ -63,7 +63,7 @@
     CHECK(!decompress_text(good + "x", limit));
 }
 
-TEST(packed_text, damaged_bytes_end_nothing)
+TEST(text_compression, damaged_bytes_do_not_crash)
 {
     const std::string text = sample(100);
     const std::string good = *compress_text(text);
@@ -73,7 +73,7 @@
         for (int k = 0; k < 3; ++k)
             bytes[random.below(bytes.size())] =
                 static_cast<char>(random.below(256));
-        // The checksum at its end tells damaged text from good.
+        // The checksum at the end detects damage.
         const auto got = decompress_text(bytes, limit);
         CHECK(!got || *got == text);
     }
--- a/libs/mesh/transfer_slots_test.cpp
+++ b/libs/mesh/transfer_slots_test.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr double small_link = 10e6;
-constexpr std::size_t piece = 16'384;
+constexpr std::size_t chunk_bytes = 16'384;
 const instant start = from_nanoseconds(1'000'000'000);
 
-std::size_t taken(transfer_slots& slots, std::size_t tries, instant now)
+std::size_t begin_many(transfer_slots& slots, std::size_t tries, instant now)
 {
     std::size_t out = 0;
     for (std::size_t i = 0; i < tries; ++i)
@@ -23,13 +23,13 @@
     return out;
 }
 
-/// Transfers over one link, in virtual time, and what their receivers see.
+/// Transfers over one link in virtual time, as seen by their receivers.
 class shared_link
 {
 public:
     explicit shared_link(double link) : link_(link), slots_(link) {}
 
-    /// As many as there are slots, all at the same time.
+    /// Starts as many transfers as there are slots, all at the same time.
     void fill(std::size_t bytes)
     {
         while (const auto id = slots_.begin(queue_.now())) {
@@ -56,15 +56,15 @@
         transfer_id id;
         std::size_t unsent;
         std::size_t left; ///< Not yet arrived.
-        instant heard;
+        instant last_arrival;
     };
 
-    /// The system takes a piece at once; the link carries one after the other.
+    /// The socket accepts a chunk at once; the link carries chunks in sequence.
     void send(transfer& it)
     {
         if (it.unsent == 0)
             return;
-        const std::size_t bytes = std::min(it.unsent, piece);
+        const std::size_t bytes = std::min(it.unsent, chunk_bytes);
         const duration wait = slots_.pacing_delay(it.id, bytes, queue_.now());
         if (wait > duration(0))
             return queue_.after(wait, [this, &it] { send(it); });
@@ -78,9 +78,9 @@
 
     void arrived(transfer& it, std::size_t bytes)
     {
-        longest_silence_ =
-            std::max<duration>(longest_silence_, queue_.now() - it.heard);
-        it.heard = queue_.now();
+        longest_silence_ = std::max<duration>(longest_silence_,
+                                              queue_.now() - it.last_arrival);
+        it.last_arrival = queue_.now();
         it.left -= bytes;
         if (it.left > 0)
             return;
@@ -102,7 +102,7 @@
 
 TEST_GROUP(transfer_slots){};
 
-TEST(transfer_slots, follow_the_link)
+TEST(transfer_slots, number_follows_the_link)
 {
     struct row
     {
@@ -113,11 +113,11 @@
                           row{200e6, 8}, row{1e9, 8}}) {
         transfer_slots slots(it.link);
         UNSIGNED_LONGS_EQUAL(it.slots, slots.size());
-        UNSIGNED_LONGS_EQUAL(it.slots, taken(slots, 20, start));
+        UNSIGNED_LONGS_EQUAL(it.slots, begin_many(slots, 20, start));
     }
 }
 
-TEST(transfer_slots, one_that_ends_lets_the_next_begin)
+TEST(transfer_slots, a_transfer_that_ends_lets_the_next_begin)
 {
     transfer_slots slots(small_link);
     const auto first = slots.begin(start);
@@ -127,31 +127,33 @@
     slots.end(*first);
     CHECK(slots.begin(start).has_value());
     CHECK(!slots.begin(start));
-    // Ended twice, it frees nobody else's.
+    // Ending it twice releases no other slot.
     slots.end(*first);
     CHECK(!slots.begin(start));
 }
 
-TEST(transfer_slots, one_that_is_never_given_back_runs_out)
+TEST(transfer_slots, a_slot_that_is_not_released_expires)
 {
     transfer_slots slots(small_link);
-    UNSIGNED_LONGS_EQUAL(2, taken(slots, 3, start));
+    UNSIGNED_LONGS_EQUAL(2, begin_many(slots, 3, start));
     CHECK(!slots.begin(start + transfer_timeout - milliseconds(1)));
     CHECK(slots.begin(start + transfer_timeout).has_value());
 }
 
-// Story: sixty nodes fetched a configuration from a small host, whose callers
-// waited 3 s behind it. All transfers together get half of the link.
-TEST(transfer_slots, leave_callers_their_part_of_the_link)
+// Guards against transfers that delay callers. Sixty nodes fetched a
+// configuration from a small host, whose callers waited 3 s behind it. All
+// transfers together get half of the link.
+TEST(transfer_slots, transfers_use_half_of_the_link)
 {
     transfer_slots slots(small_link);
     const transfer_id ids[] = {*slots.begin(start), *slots.begin(start)};
     instant now = start;
     std::size_t sent = 0;
     for (std::size_t turn = 0; now < start + seconds(10); ++turn) {
-        const duration wait = slots.pacing_delay(ids[turn % 2], piece, now);
+        const duration wait =
+            slots.pacing_delay(ids[turn % 2], chunk_bytes, now);
         if (wait == duration(0))
-            sent += piece;
+            sent += chunk_bytes;
         else
             now += milliseconds(1);
     }
@@ -159,48 +161,49 @@
     DOUBLES_EQUAL(0.5, share, 0.02);
 }
 
-// What was unused for long is made up for by 200 ms of it, no more.
-TEST(transfer_slots, an_idle_link_is_used_at_once)
+// After a long idle time, at most 200 ms of it may be made up for.
+TEST(transfer_slots, an_idle_link_allows_a_burst)
 {
     transfer_slots slots(small_link);
     instant now = start;
     for (int round = 0; round < 3; ++round) {
         const auto id = slots.begin(now);
         std::size_t at_once = 0;
-        while (slots.pacing_delay(*id, piece, now) == duration(0))
-            at_once += piece;
-        CHECK(at_once >= 125'000 && at_once < 125'000 + 2 * piece);
-        CHECK(slots.pacing_delay(*id, piece, now) < milliseconds(27));
+        while (slots.pacing_delay(*id, chunk_bytes, now) == duration(0))
+            at_once += chunk_bytes;
+        CHECK(at_once >= 125'000 && at_once < 125'000 + 2 * chunk_bytes);
+        CHECK(slots.pacing_delay(*id, chunk_bytes, now) < milliseconds(27));
         slots.end(*id);
         now += seconds(60);
     }
 }
 
-TEST(transfer_slots, the_first_goes_first)
+TEST(transfer_slots, the_first_has_precedence)
 {
     transfer_slots slots(small_link);
     const auto first = slots.begin(start);
     const auto second = slots.begin(start);
     instant now = start;
-    while (slots.pacing_delay(*first, piece, now) == duration(0))
+    while (slots.pacing_delay(*first, chunk_bytes, now) == duration(0))
         continue;
-    // Both may send by then, but the first is about to.
+    // Both may send by then, but the first has precedence.
     now += milliseconds(100);
-    CHECK(slots.pacing_delay(*second, piece, now) > duration(0));
-    CHECK(slots.pacing_delay(*first, piece, now) == duration(0));
-    CHECK(slots.pacing_delay(*second, piece, now) == duration(0));
-    // One that ended holds up nobody.
-    while (slots.pacing_delay(*first, piece, now) == duration(0))
+    CHECK(slots.pacing_delay(*second, chunk_bytes, now) > duration(0));
+    CHECK(slots.pacing_delay(*first, chunk_bytes, now) == duration(0));
+    CHECK(slots.pacing_delay(*second, chunk_bytes, now) == duration(0));
+    // One that ended delays no other.
+    while (slots.pacing_delay(*first, chunk_bytes, now) == duration(0))
         continue;
     slots.end(*first);
     now += milliseconds(100);
-    CHECK(slots.pacing_delay(*second, piece, now) == duration(0));
+    CHECK(slots.pacing_delay(*second, chunk_bytes, now) == duration(0));
 }
 
-// Story: two nodes fetched half a megabyte from a small host. While the older
-// transfer was paced the younger one got no byte, for longer than a silent
-// connection is kept; it failed, rested, and began anew behind the next one.
-TEST(transfer_slots, a_younger_one_is_not_silent_for_long)
+// Guards against starvation. Two nodes fetch half a megabyte from a small host.
+// While the older transfer was paced, the younger one got no byte for longer
+// than an idle connection is kept. It failed, backed off and restarted behind
+// the next one.
+TEST(transfer_slots, a_younger_transfer_is_not_starved)
 {
     for (const double link : {10e6, 50e6, 100e6, 200e6, 1e9}) {
         for (const std::size_t bytes : {500'000, 1'100'000}) {
@@ -213,9 +216,9 @@
     }
 }
 
-// A link so slow that each piece takes nearly as long as one may wait: both
-// are late all the time, and none may always be the first of these.
-TEST(transfer_slots, a_younger_one_is_not_silent_for_long_on_a_slow_link)
+// On a link so slow that each chunk takes nearly as long as a transfer may
+// wait, both are starved all the time, and neither may always go first.
+TEST(transfer_slots, a_younger_transfer_is_not_starved_on_a_slow_link)
 {
     shared_link all(8e5);
     all.fill(100'000);
@@ -224,21 +227,21 @@
     CHECK(all.longest_silence_seen() < transfer_idle_timeout);
 }
 
-// The bytes that the younger one gets meanwhile, its part of what may be sent
-// at once included, must not make it two transfers that take turns: these would
-// take more than twice as long as one alone.
-TEST(transfer_slots, the_first_is_hardly_held_up)
+// The bytes that the younger transfer gets meanwhile, its part of the burst
+// included, must not make the two take turns: the first would then take more
+// than twice as long as alone.
+TEST(transfer_slots, the_first_is_hardly_delayed)
 {
     shared_link all(small_link);
     const instant begun = all.now();
     all.fill(500'000);
     all.run_for(transfer_timeout);
-    // Half of the link, less what may be sent at once.
+    // Half of the link, less the burst.
     const duration alone = from_seconds((500'000 - 125'000) * 8 / 5e6);
     CHECK(all.first_done() - begun < alone * 4 / 3);
 }
 
-TEST(transfer_slots, the_latest_served_are_named_first)
+TEST(transfer_slots, the_latest_served_are_listed_first)
 {
     const catalog::configuration_version old(6);
     const catalog::configuration_version version(7);
--- a/libs/mesh/update_lateness_test.cpp
+++ b/libs/mesh/update_lateness_test.cpp
@@ -23,7 +23,7 @@
     mesh::transit_delay transit;
 };
 
-TEST(transit_delay, what_clocks_differ_by_is_no_delay)
+TEST(transit_delay, clock_offset_is_no_delay)
 {
     CHECK(transit.record(at(-70'000), at(0)) == duration(0));
     CHECK(transit.record(at(-69'000), at(1'000)) == duration(0));
@@ -31,7 +31,7 @@
     CHECK(transit.record(at(-67'000), at(2'990)) == duration(0));
 }
 
-TEST(transit_delay, a_faster_message_shows_that_all_before_waited)
+TEST(transit_delay, a_faster_message_resets_the_minimum)
 {
     transit.record(at(0), at(900));
     CHECK(transit.record(at(1'000), at(1'900)) == duration(0));
@@ -39,10 +39,10 @@
     CHECK(transit.record(at(3'000), at(3'900)) == milliseconds(890));
 }
 
-// Story: the clocks of two hosts run at speeds that differ by a ten-thousandth.
-// After some hours a node would take each message of the other for late, and
-// refuse all its callers.
-TEST(transit_delay, clocks_may_drift)
+// Guards against clock drift that counts as delay. With clocks whose speeds
+// differ by a ten-thousandth, a node would after some hours take each message
+// of the other for late, and refuse all its callers.
+TEST(transit_delay, clock_drift_is_no_delay)
 {
     for (int i = 0; i < 24 * 3600; ++i) {
         const instant sent = instant(milliseconds(1'000'000)) + seconds(i);
@@ -55,72 +55,74 @@
 {
     mesh::update_lateness it{bound};
 
-    void hear(duration delay, int from_ms, int to_ms)
+    void note_each_100_ms(duration delay, int from_ms, int to_ms)
     {
         for (int ms = from_ms; ms < to_ms; ms += 100)
             it.note(delay, at(ms));
     }
 };
 
-// Story: a team sends a small host more than its link carries. Beacons that
-// were up to date when they were sent are here 2.5 s later; a target may have
-// left meanwhile, and a request reaches it after more than the 3 s allowed.
-TEST(update_lateness, a_full_link_makes_a_host_late)
+// Guards against routing by outdated heartbeats. A team sends a small host more
+// than its link carries, and heartbeats arrive 2.5 s after sending. A target
+// may have left meanwhile, and a request reaches it after more than the 3 s
+// allowed.
+TEST(update_lateness, a_saturated_link_makes_a_host_late)
 {
-    hear(milliseconds(0), 0, 1'000);
+    note_each_100_ms(milliseconds(0), 0, 1'000);
     CHECK(!it.is_late(milliseconds(200), at(1'000)));
-    hear(milliseconds(2'500), 1'000, 3'000);
+    note_each_100_ms(milliseconds(2'500), 1'000, 3'000);
     CHECK(it.is_late(milliseconds(2'600), at(3'000)));
-    hear(milliseconds(0), 3'000, 4'200);
+    note_each_100_ms(milliseconds(0), 3'000, 4'200);
     CHECK(!it.is_late(milliseconds(200), at(4'200)));
 }
 
-// Story: the platform is away for eight seconds, and nobody's news are in
-// time. A fleet that refused its callers for that would be down.
-TEST(update_lateness, news_that_are_old_for_all_are_not_late)
+// The platform is unreachable for eight seconds, and data is stale at every
+// node. A fleet that refused its callers for that would be down.
+TEST(update_lateness, data_that_is_stale_everywhere_is_not_late)
 {
-    hear(milliseconds(10), 0, 8'000);
+    note_each_100_ms(milliseconds(10), 0, 8'000);
     CHECK(!it.is_late(seconds(8), at(8'000)));
-    hear(milliseconds(900), 8'000, 9'000);
+    note_each_100_ms(milliseconds(900), 8'000, 9'000);
     CHECK(!it.is_late(seconds(9), at(9'000)));
 }
 
-// Story: a host is cut off from its peers and from the platform, and callers
-// reach it. What it knows is all that can serve them.
-TEST(update_lateness, a_host_that_hears_nothing_is_not_late)
+// A host is partitioned from its peers and the platform, while callers reach
+// it. It can only serve them from the data it has.
+TEST(update_lateness, a_host_that_receives_nothing_is_not_late)
 {
     CHECK(!it.is_late(seconds(8), at(0)));
-    hear(milliseconds(10), 0, 1'000);
+    note_each_100_ms(milliseconds(10), 0, 1'000);
     CHECK(!it.is_late(seconds(4), at(5'000)));
 }
 
-TEST(update_lateness, one_message_that_was_held_up_says_nothing)
+TEST(update_lateness, a_single_delayed_message_is_ignored)
 {
-    hear(milliseconds(10), 0, 2'000);
+    note_each_100_ms(milliseconds(10), 0, 2'000);
     it.note(milliseconds(2'600), at(2'000));
     CHECK(!it.is_late(milliseconds(2'700), at(2'000)));
 }
 
-// Most messages are lost where a link is full.
-TEST(update_lateness, what_was_seen_last_holds_for_a_while)
+// Most messages are lost on a saturated link.
+TEST(update_lateness, samples_stay_valid_for_the_bound)
 {
-    hear(milliseconds(2'400), 0, 1'000);
+    note_each_100_ms(milliseconds(2'400), 0, 1'000);
     CHECK(it.is_late(milliseconds(2'500), at(2'500)));
     CHECK(!it.is_late(milliseconds(2'500), at(4'100)));
 }
 
-// Story: a small host hears in a beacon that there is a newer configuration;
-// the configuration itself waits on its full link for four seconds. It goes on
-// by the one it has, and refuses a route that was added.
-TEST(update_lateness, what_is_known_to_be_replaced_is_soon_overdue)
+// Guards against use of a configuration known to be outdated. A small host
+// learns from a heartbeat of a newer one, which is queued on its saturated link
+// for four seconds. It would keep using the old one and refuse a route that was
+// added.
+TEST(update_lateness, replaced_data_is_soon_overdue)
 {
     CHECK(!it.is_overdue(std::nullopt));
     CHECK(!it.is_overdue(milliseconds(2'200)));
     CHECK(it.is_overdue(milliseconds(2'300)));
 }
 
-// Guards against a queue that grows faster than its shortest wait shows.
-TEST(update_lateness, the_longest_delay_is_that_of_the_worse_of_two_windows)
+// Guards against a queue that grows faster than its shortest delay shows.
+TEST(update_lateness, max_delay_is_that_of_the_worse_of_two_windows)
 {
     mesh::update_lateness lateness(seconds(3));
     const instant at(seconds(200));
--- a/libs/mesh/watch_policy_test.cpp
+++ b/libs/mesh/watch_policy_test.cpp
@@ -1,6 +1,7 @@
-// Who asks the platform, first for one node, then for a fleet of sixty in
-// virtual time: rosters, ages and decisions are the product's, messages arrive
-// on the next step, and the platform answers whom it isn't cut off from.
+// Which nodes call the platform: first for a single node, then for a fleet of
+// sixty in virtual time. Peer views, ages and decisions are the real code;
+// messages arrive in the next step, and the platform answers all nodes that
+// aren't partitioned from it.
 
 #include "fennelladder/mesh/watch_policy.hpp"
 
@@ -23,17 +24,18 @@
                                      seconds(1)};
 constexpr watch_inputs calm{9, milliseconds(500), std::nullopt, {}};
 
-/// Of 4,450 routes, as the platform lists them.
+/// A configuration of 4,450 routes in the platform's format.
 constexpr double configuration_bytes = 1e6;
-constexpr double small_link = 10e6; ///< In bits per second.
+constexpr double small_link = 10e6; ///< Bits per second.
 constexpr double large_link = 200e6;
-/// 31 ms of a core, on a host with an eighth of one, and with half of one.
+/// 31 ms of CPU time, on a host with an eighth of a core and one with half a
+/// core.
 constexpr duration small_time_to_read = milliseconds(250);
 constexpr duration large_time_to_read = milliseconds(60);
 constexpr double small_capacity = 100;
 constexpr double large_capacity = 400;
 
-/// Of the platform or a connection that is cut.
+/// Durations of a call that is answered, can't connect, or gets no answer.
 constexpr duration call_time = milliseconds(10);
 constexpr duration dial_limit = milliseconds(600);
 constexpr duration silence = milliseconds(1500);
@@ -41,8 +43,8 @@
 enum class platform_link
 {
     good,
-    cut,   ///< Can't be dialled.
-    silent ///< Takes calls and answers none.
+    cut,   ///< Can't be connected to.
+    silent ///< Accepts calls and answers none.
 };
 
 struct sim_setup
@@ -58,7 +60,7 @@
              staleness_limits its_limits)
         : name("n" + std::to_string(i)), capacity(power),
           nodes(host_id(name), {}), random(seed),
-          duty(its_limits, random.unit())
+          policy(its_limits, random.unit())
     {}
 
     bool is_large() const { return capacity >= large_capacity; }
@@ -67,7 +69,7 @@
     double capacity;
     mesh::peer_view nodes;
     random_source random;
-    watch_policy duty;
+    watch_policy policy;
     freshness known;
     platform_link platform = platform_link::good;
     bool reached = true;
@@ -106,9 +108,9 @@
             all.push_back(std::make_unique<sim_node>(
                 i, i < setup.large ? large_capacity : small_capacity,
                 std::uint64_t(i) + 1, limits_));
-        // All hear of each other at once, as after a common start.
+        // All nodes discover each other at once, as after a common start.
         for (const auto& it : all)
-            tell_all(*it);
+            send_to_all(*it);
         run(seconds(10));
     }
 
@@ -122,7 +124,7 @@
         return out;
     }
 
-    /// Order in which nodes watch, as `by` sees it.
+    /// Nodes in the order in which they watch.
     std::vector<sim_node*> ranked()
     {
         std::vector<sim_node*> out;
@@ -155,7 +157,7 @@
             if (it.calling && now >= it.call_ends)
                 end_call(it);
             if ((number + static_cast<long>(i)) % 10 == 0)
-                look(it);
+                decide_and_call(it);
             if ((number + static_cast<long>(i)) % 5 == 0)
                 send_due(it);
             if (const auto age = it.known.age(now))
@@ -163,7 +165,7 @@
         }
     }
 
-    node_heartbeat beacon_of(sim_node& it) const
+    node_heartbeat heartbeat_of(sim_node& it) const
     {
         node_heartbeat out;
         out.host = host_id(it.name);
@@ -177,7 +179,7 @@
         return out;
     }
 
-    void hear(sim_node& to, const node_heartbeat& from)
+    void receive(sim_node& to, const node_heartbeat& from)
     {
         if (to.frozen || to.name == from.host.str())
             return;
@@ -186,11 +188,11 @@
             to.known.confirm(now - *from.targets_age - hop_allowance);
     }
 
-    void tell_all(sim_node& from)
+    void send_to_all(sim_node& from)
     {
-        const node_heartbeat message = beacon_of(from);
+        const node_heartbeat message = heartbeat_of(from);
         for (const auto& it : all)
-            hear(*it, message);
+            receive(*it, message);
     }
 
     void send_due(sim_node& from)
@@ -198,9 +200,9 @@
         const auto due = from.nodes.due(now);
         if (due.empty())
             return;
-        const node_heartbeat message = beacon_of(from);
+        const node_heartbeat message = heartbeat_of(from);
         for (const std::string& name : due)
-            hear(*all[std::stoul(name.substr(1))], message);
+            receive(*all[std::stoul(name.substr(1))], message);
     }
 
     void note_contact(sim_node& it, bool reached)
@@ -208,15 +210,15 @@
         if (it.reached == reached)
             return;
         it.reached = reached;
-        tell_all(it);
+        send_to_all(it);
     }
 
-    void look(sim_node& it)
+    void decide_and_call(sim_node& it)
     {
         if (it.calling)
             return;
-        const size_class place = it.nodes.classify_size(it.capacity, now);
-        it.reason = it.duty.decide({rank(it), it.known.age(now), {}, place});
+        const size_class size = it.nodes.classify_size(it.capacity, now);
+        it.reason = it.policy.decide({rank(it), it.known.age(now), {}, size});
         if (it.reason == watch_reason::none) {
             it.listed = false;
             probe(it);
@@ -242,21 +244,21 @@
         it.probing = probing;
         it.watching = it.listed && !probing;
         it.begun = now;
-        duration lasts = it.watching ? limits_.watch_timeout : call_time;
+        duration call_length = it.watching ? limits_.watch_timeout : call_time;
         if (!it.watching && !probing) {
             ++record_->listings;
             record_->small_listings += it.is_large() ? 0 : 1;
-            lasts += listing_time(it);
+            call_length += listing_time(it);
         }
         if (it.platform == platform_link::silent ||
             (it.watching && it.platform != platform_link::good))
-            lasts = silence;
+            call_length = silence;
         else if (it.platform == platform_link::cut)
-            lasts = dial_limit;
-        it.call_ends = now + lasts;
+            call_length = dial_limit;
+        it.call_ends = now + call_length;
     }
 
-    /// After the first byte, until what is listed is read.
+    /// Time from the first byte until the listing is read.
     duration listing_time(const sim_node& it) const
     {
         if (kind_ == update_size::packets)
@@ -273,7 +275,8 @@
         if (it.platform == platform_link::good)
             succeed(it);
         else if (it.watching) {
-            // A new connection is tried before the platform counts as away.
+            // A new connection is tried before the platform counts as
+            // unreachable.
             it.listed = false;
             begin_call(it, false);
         } else
@@ -286,18 +289,18 @@
         const auto before = it.known.age(now);
         if (!it.probing) {
             it.listed = true;
-            // What is listed is as old as the first byte of it.
+            // A listing is as old as its first byte.
             it.known.confirm(it.watching ? now : it.begun + call_time);
-            it.duty.record_success(now - it.begun, before, it.random);
+            it.policy.record_success(now - it.begun, before, it.random);
             if (before > limits_.stale_after)
-                tell_all(it);
+                send_to_all(it);
         }
         note_contact(it, true);
     }
 
     void fail(sim_node& it)
     {
-        it.duty.record_failure();
+        it.policy.record_failure();
         ++it.failures;
         it.next_try = now + retry_delay(it.random, it.failures, it.reason);
         note_contact(it, false);
@@ -312,11 +315,11 @@
 
 TEST_GROUP(watch_policy)
 {
-    watch_policy duty{limits, 0};
+    watch_policy policy{limits, 0};
     random_source random{1};
 };
 
-TEST(watch_policy, limits_leave_a_part_of_the_bound_for_the_way_to_the_others)
+TEST(watch_policy, limits_leave_a_part_of_the_bound_for_propagation)
 {
     for (const duration it : {seconds(2), seconds(3)}) {
         for (const update_size size :
@@ -354,7 +357,7 @@
     }
 }
 
-TEST(watch_policy, a_nodes_own_factor_lengthens_its_limit)
+TEST(watch_policy, a_nodes_factor_extends_its_limit)
 {
     watch_policy late(limits, 1);
     CHECK(late.decide({9, milliseconds(2200), {}, {}}) == watch_reason::none);
@@ -370,16 +373,17 @@
     DOUBLES_EQUAL(1, limit_factor({true, part}, 0), 1e-9);
 }
 
-// Guards against a fleet of equal hosts, all of them large, that ask together.
-TEST(watch_policy, equal_hosts_ask_over_the_whole_spread)
+// Guards against a fleet of equal hosts, all of them large, that ask at the
+// same time.
+TEST(watch_policy, equal_hosts_spread_over_all_factors)
 {
     DOUBLES_EQUAL(1, limit_factor({true, 1}, 0), 1e-9);
     DOUBLES_EQUAL(max_limit_factor, limit_factor({true, 1}, 1), 1e-9);
 }
 
-// Story: a version was announced and its holder went away with it. The rest
-// of the bound has to do for a megabyte over a small link.
-TEST(watch_policy, what_was_announced_is_asked_for_early)
+// A version is announced, and the node that has it disappears. The rest of the
+// bound has to suffice for a megabyte over a small link.
+TEST(watch_policy, an_announced_update_is_requested_early)
 {
     const duration transfer =
         from_seconds(8 * configuration_bytes / small_link);
@@ -392,40 +396,40 @@
     }
 }
 
-TEST(watch_policy, one_that_asked_stays_while_nobody_else_does)
+TEST(watch_policy, a_substitute_stays_while_no_other_node_watches)
 {
-    CHECK(duty.decide({9, seconds(2), {}, {}}) == watch_reason::stale);
-    duty.record_success(call_time, seconds(2), random);
+    CHECK(policy.decide({9, seconds(2), {}, {}}) == watch_reason::stale);
+    policy.record_success(call_time, seconds(2), random);
     for (int i = 0; i < 50; ++i) {
-        CHECK(duty.decide(calm) == watch_reason::stale);
-        duty.record_success(seconds(1), seconds(1), random);
+        CHECK(policy.decide(calm) == watch_reason::stale);
+        policy.record_success(seconds(1), seconds(1), random);
     }
 }
 
-TEST(watch_policy, one_that_hears_of_other_watchers_leaves)
+TEST(watch_policy, a_substitute_stops_when_others_watch)
 {
-    (void)duty.decide({9, seconds(2), {}, {}});
-    duty.record_success(call_time, seconds(2), random);
+    (void)policy.decide({9, seconds(2), {}, {}});
+    policy.record_success(call_time, seconds(2), random);
     int watches = 0;
-    while (duty.decide(calm) == watch_reason::stale) {
-        duty.record_success(seconds(1), milliseconds(300), random);
+    while (policy.decide(calm) == watch_reason::stale) {
+        policy.record_success(seconds(1), milliseconds(300), random);
         CHECK(++watches < 30);
     }
 }
 
-TEST(watch_policy, one_that_fails_or_ranks_first_is_no_stand_in_any_more)
+TEST(watch_policy, a_node_that_fails_or_ranks_first_is_no_substitute)
 {
-    (void)duty.decide({9, seconds(2), {}, {}});
-    duty.record_success(call_time, seconds(2), random);
-    duty.record_failure();
-    CHECK(duty.decide(calm) == watch_reason::none);
-    (void)duty.decide({9, seconds(2), {}, {}});
-    duty.record_success(call_time, seconds(2), random);
-    CHECK(duty.decide({1, seconds(1), {}, {}}) == watch_reason::ranked);
-    CHECK(duty.decide(calm) == watch_reason::none);
+    (void)policy.decide({9, seconds(2), {}, {}});
+    policy.record_success(call_time, seconds(2), random);
+    policy.record_failure();
+    CHECK(policy.decide(calm) == watch_reason::none);
+    (void)policy.decide({9, seconds(2), {}, {}});
+    policy.record_success(call_time, seconds(2), random);
+    CHECK(policy.decide({1, seconds(1), {}, {}}) == watch_reason::ranked);
+    CHECK(policy.decide(calm) == watch_reason::none);
 }
 
-TEST(watch_policy, pauses_grow_and_end_within_two_seconds_with_the_dial)
+TEST(watch_policy, retry_delay_and_connect_timeout_stay_within_two_seconds)
 {
     for (int failures = 1; failures < 40; ++failures) {
         const auto ranked = retry_delay(random, failures, watch_reason::ranked);
@@ -457,18 +461,19 @@
     }
 };
 
-TEST(watching_fleet, only_two_ask_while_all_is_well)
+TEST(watching_fleet, only_two_ask_in_a_healthy_fleet)
 {
     const run_record got = fleet.run(seconds(20));
-    // Two that watch for a second each, and now and then a step of waiting.
+    // Two nodes with watches of one second each, and an occasional step in
+    // between.
     CHECK(got.calls <= 40);
     CHECK(got.oldest < limits.stale_after);
 }
 
-// Story: the hosts that watch are killed, or frozen, in the same moment. The
-// others count them as alive for six seconds, and nobody asked the platform
-// until then.
-TEST(watching_fleet, three_first_ranked_that_freeze_are_stood_in_for)
+// Guards against relying on failure detection. The hosts that watch are killed
+// or frozen at the same moment. The others count them as alive for six seconds,
+// and no node asked the platform until then.
+TEST(watching_fleet, three_frozen_first_ranked_nodes_are_substituted)
 {
     const auto order = fleet.ranked();
     for (int i = 0; i < 3; ++i)
@@ -476,12 +481,12 @@
     const run_record got = fleet.run(seconds(10));
     CHECK(got.oldest < bound);
     CHECK(got.calls < 10 * 12);
-    // Later the next in order watch, and the stand-ins have left.
+    // Later the next in rank watch, and the substitutes have stopped.
     CHECK(fleet.run(seconds(10)).calls <= 10 * 3);
 }
 
-// Story: the platform goes silent for a third of the hosts, those that watch
-// among them. Their watches wait for answers that don't come.
+// The platform stops answering a third of the hosts, the watchers among them.
+// Their watches wait for answers that don't come.
 TEST(watching_fleet, a_platform_silent_for_a_third_is_asked_by_the_others)
 {
     const auto order = fleet.ranked();
@@ -492,9 +497,10 @@
     CHECK(got.calls < 10 * 20);
 }
 
-// Story: all hosts but one small one are cut off from the platform. Those
-// that had reached it once went on claiming so, and were tried three at a
-// time; the one that could have asked was behind all of them.
+// Guards against outdated claims to reach the platform. All hosts but one small
+// one are partitioned from it. Those that had reached it before kept claiming
+// so and were tried three at a time; the one that could have asked ranked
+// behind all of them.
 TEST(watching_fleet, the_only_host_that_reaches_the_platform_asks)
 {
     cut_all_but(sim_fleet::size - 1, platform_link::cut);
@@ -504,7 +510,7 @@
     CHECK(fleet.all.back()->reason != watch_reason::none);
 }
 
-TEST(watching_fleet, the_large_ones_watch_again_after_a_cut)
+TEST(watching_fleet, large_hosts_watch_again_after_a_partition)
 {
     cut_all_but(sim_fleet::size - 1, platform_link::cut);
     fleet.run(seconds(10));
@@ -516,9 +522,9 @@
     CHECK(fleet.run(seconds(10)).calls <= 10 * 4);
 }
 
-// Story: the platform is away for everybody. Each call costs, also a refused
-// one, and sixty hosts try.
-TEST(watching_fleet, tries_stay_bounded_while_the_platform_is_away)
+// The platform is unreachable for all sixty hosts, which keep trying. Each call
+// costs, even a refused one.
+TEST(watching_fleet, retries_stay_bounded_while_the_platform_is_unreachable)
 {
     cut_all_but(-1, platform_link::cut);
     fleet.run(seconds(5));
@@ -526,10 +532,11 @@
     CHECK(got.calls < 10 * 45);
 }
 
-// Story: a host is cut off, and the whole fleet after it. Its own link comes
-// back first. It reached the platform for its tokens and asked for nothing
-// else; for seven seconds it refused requests on routes that were there.
-TEST(watching_fleet, a_host_whose_link_returns_alone_asks_within_two_seconds)
+// Guards against a recovered host that doesn't fetch updates. A host loses the
+// platform, and the whole fleet after it; its own link recovers first. It
+// reached the platform for tokens and asked for nothing else, and for seven
+// seconds refused requests on routes that existed.
+TEST(watching_fleet, a_host_whose_link_recovers_alone_asks_within_two_seconds)
 {
     for (int i = 0; i < sim_fleet::size; i += 11) {
         cut_all_but(-1, platform_link::cut);
@@ -542,7 +549,7 @@
             waited += milliseconds(10);
         }
         CHECK(waited <= milliseconds(2200));
-        // Its answer reaches the others at once.
+        // Its answer is passed on to the others at once.
         fleet.run(milliseconds(100));
         for (const auto& it : fleet.all)
             CHECK(it->known.age(fleet.now) < limits.stale_after);
@@ -550,7 +557,7 @@
 }
 
 TEST_GROUP(listing_fleet){
-    /// What ten seconds cost after the platform fell silent for the first two.
+    /// Record of ten seconds after the platform stops answering the first two.
     static run_record after_watches_fell_silent(const sim_setup& setup){
         sim_fleet fleet(setup);
 const auto order = fleet.ranked();
@@ -561,35 +568,36 @@
 }
 ;
 
-// Story: the platform falls silent for the two that watch while nothing
-// changes, and what everybody knows grows old. Sixty hosts listed a megabyte
-// each to be told that, since all of them began before the first was done.
-TEST(listing_fleet, large_hosts_spare_the_small_ones_the_configuration)
+// Guards against a listing by every host. The platform stops answering the two
+// watchers while nothing changes, and all data grows stale. Sixty hosts listed
+// a megabyte each to confirm it, since all of them started before the first was
+// done.
+TEST(listing_fleet, large_hosts_save_small_ones_the_listing)
 {
     const run_record got =
         after_watches_fell_silent({60, 8, update_size::bulk});
     CHECK(got.oldest <= bound);
-    // Eight large ones, of which two tried again on a new connection.
+    // Eight large hosts, of which two retried on a new connection.
     CHECK_COMPARE(got.bytes(), <=, 10 * configuration_bytes);
     LONGS_EQUAL(0, got.small_listings);
 }
 
-TEST(listing_fleet, equal_hosts_spare_some_of_themselves)
+TEST(listing_fleet, equal_hosts_avoid_some_listings)
 {
     const run_record got = after_watches_fell_silent({8, 8, update_size::bulk});
     CHECK(got.oldest <= bound);
     CHECK_COMPARE(got.bytes(), <=, 5 * configuration_bytes);
 }
 
-TEST(listing_fleet, nobody_lists_while_all_is_well)
+TEST(listing_fleet, no_node_lists_in_a_healthy_fleet)
 {
     sim_fleet fleet({60, 8, update_size::bulk});
     LONGS_EQUAL(0, fleet.run(seconds(60)).listings);
 }
 
-// Story: all hosts but one small one are cut off from the platform. It has to
-// be done within the bound though it needs a second for the listing.
-TEST(listing_fleet, a_small_host_alone_is_done_within_the_bound)
+// All hosts but one small one are partitioned from the platform. It has to
+// finish within the bound although its listing takes a second.
+TEST(listing_fleet, a_small_host_alone_finishes_within_the_bound)
 {
     for (std::size_t i = 10; i < sim_fleet::size; i += 7) {
         sim_fleet fleet({60, 8, update_size::bulk});
