--- a/include/fennelladder/edge/event_splitter.hpp
+++ b/include/fennelladder/edge/event_splitter.hpp
@@ -22,6 +22,7 @@
 
 namespace fennelladder::edge {
 
+/// Buffers a stream until whole events are available.
 class event_splitter
 {
 public:
--- a/include/fennelladder/edge/response_writer.hpp
+++ b/include/fennelladder/edge/response_writer.hpp
@@ -57,6 +57,7 @@
 
     /// Sends a response of the node itself, with a JSON body.
     awaitable<bool> send_local(const local_response& answer);
+
     /// Sends a whole response with a Content-Length.
     awaitable<bool> send_complete(const response_head& head,
                                   const std::string& body);
--- a/include/fennelladder/edge/token_allocator.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -40,7 +40,8 @@
     none,
     /// The request may cost more than the team's whole prepaid amount.
     exceeds_prepaid,
-    /// None available, but the record has some and the platform is reachable.
+    /// None available now, but soon: the record has some left and the platform
+    /// is reachable.
     temporary,
     /// None available, and none expected for an unknown time.
     indefinite
