--- a/apps/fennelladder/command_front.cpp
+++ b/apps/fennelladder/command_front.cpp
@@ -141,7 +141,7 @@
     const system_clock time;
     telemetry::line_writer log(STDOUT_FILENO, {});
     log_through(log, time, read->host.str());
-    telemetry::write_crash_line(STDOUT_FILENO, read->host.str());
+    telemetry::install_crash_handler(STDOUT_FILENO, read->host.str());
     options.settings_path = path;
     options.settings_text = text.str();
     options.entry_validity = wanted.duration_of("entry-validity");
--- a/include/fennelladder/settings/settings.hpp
+++ b/include/fennelladder/settings/settings.hpp
@@ -117,7 +117,7 @@
         std::int64_t low = 0;            // of a number
         std::int64_t high = 0;
         std::string value;
-        std::string came_from;
+        std::string source;
     };
 
     const entry& find(const std::string& name) const;
--- a/include/fennelladder/telemetry/crash_line.hpp
+++ b/include/fennelladder/telemetry/crash_line.hpp
@@ -1,6 +1,6 @@
 // The last line in the log of a process that a signal ends.
 //
-//     write_crash_line(STDOUT_FILENO, host);   // at start
+//     install_crash_handler(STDOUT_FILENO, host);   // at start
 //
 // An assertion, or memory that isn't there, ends the process at once, which
 // cuts every request under way; without a line in the log that looks like a
@@ -24,7 +24,7 @@
 /// Precondition: `descriptor` stays open. A reader of it that stands still
 /// loses the line and doesn't hold up the end. Not thread safe; call it at
 /// start, once.
-void write_crash_line(int descriptor, const std::string& host);
+void install_crash_handler(int descriptor, const std::string& host);
 
 } // namespace fennelladder::telemetry
 
--- a/include/fennelladder/telemetry/line_writer.hpp
+++ b/include/fennelladder/telemetry/line_writer.hpp
@@ -33,8 +33,8 @@
 {
     /// Lines a second of one event. A node of today's fleets carries some
     /// ten requests a second, one of the planned ones a dozen.
-    int lines_of_success = 60;
-    int lines_of_failure = 120;
+    int info_lines_per_second = 60;
+    int warning_lines_per_second = 120;
     std::size_t buffer_bytes = 262'144; ///< Waiting to be written.
 };
 
@@ -61,16 +61,16 @@
         int used = 0;
     };
 
-    bool take_budget(const event_description& what, instant now);
+    bool consume_budget(const event_description& what, instant now);
     void report_dropped(instant now);
 
     const int descriptor_;
     const line_writer_options options_;
-    std::string waiting_;
+    std::string buffer_;
     std::map<int, budget> budgets_;
-    std::map<int, std::uint64_t> left_out_; ///< By event, not yet reported.
+    std::map<int, std::uint64_t> dropped_by_event_; ///< Not yet reported.
     std::uint64_t dropped_ = 0;
-    instant reported_;
+    instant last_report_;
 };
 
 } // namespace fennelladder::telemetry
--- a/include/fennelladder/telemetry/service_level.hpp
+++ b/include/fennelladder/telemetry/service_level.hpp
@@ -94,8 +94,8 @@
 
 /// How `sample` counts for `objective`. The worst cause wins: doubled, then
 /// missing, refused, slow.
-burn_cause judge(const service_level_objective& objective,
-                 const request_sample& sample);
+burn_cause classify(const service_level_objective& objective,
+                    const request_sample& sample);
 
 /// Requests by cause.
 struct burn_counts
@@ -186,11 +186,11 @@
 {
     /// Teams counted by themselves, over all objectives; later ones count
     /// under `other_teams` until the process ends. 700 bytes each.
-    std::size_t most_team_series = 10'000;
+    std::size_t max_team_series = 10'000;
 
     /// Teams in a snapshot, for each objective those with most bad requests:
     /// bounds what a node shows at /metrics.
-    std::size_t teams_shown = 50;
+    std::size_t max_snapshot_teams = 50;
 };
 
 /// The name under which teams beyond the limit are counted.
@@ -218,7 +218,7 @@
         std::map<burn_window, window_ring> windows;
     };
 
-    struct measured
+    struct tracked_objective
     {
         service_level_objective objective;
         series all;
@@ -227,14 +227,15 @@
 
     series make_series(const service_level_objective& objective,
                        bool team) const;
-    series& team_series(measured& it, const team_id& team);
-    void show_teams(const measured& it, instant now, burn_snapshot& out) const;
+    series& team_series(tracked_objective& it, const team_id& team);
+    void add_worst_teams(const tracked_objective& it, instant now,
+                         burn_snapshot& out) const;
 
     const meter_options options_;
 
     // Both guarded by mutex_, which is a leaf.
     mutable std::mutex mutex_;
-    std::vector<measured> measured_;
+    std::vector<tracked_objective> tracked_;
 };
 
 /// The snapshot as lines of the Prometheus text format:
--- a/libs/report/history_burn.cpp
+++ b/libs/report/history_burn.cpp
@@ -157,7 +157,7 @@
     std::ranges::stable_sort(samples, {},
                              &std::pair<instant, request_sample>::first);
     telemetry::service_level_meter meter(std::move(objectives),
-                                         {.teams_shown = SIZE_MAX});
+                                         {.max_snapshot_teams = SIZE_MAX});
     for (const auto& [at, sample] : samples)
         meter.add(sample, at);
     return meter.snapshot(last_);
--- a/libs/settings/settings.cpp
+++ b/libs/settings/settings.cpp
@@ -137,22 +137,21 @@
         return;
     case kind::choice:
         if (std::ranges::find(it.values, it.value) == it.values.end())
-            add(found, it.came_from,
+            add(found, it.source,
                 "'" + it.value + "' is not one of " + it.unit);
         return;
     case kind::number:
         if (!parse_number(it.value, value)) {
-            add(found, it.came_from,
-                "'" + it.value + "' is not a whole number");
+            add(found, it.source, "'" + it.value + "' is not a whole number");
         } else if (value < it.low || value > it.high) {
-            add(found, it.came_from,
+            add(found, it.source,
                 it.value + " is not within " + std::to_string(it.low) + " to " +
                     std::to_string(it.high) + " " + it.unit);
         }
         return;
     case kind::flag:
         if (!is_true(it.value) && !is_false(it.value))
-            add(found, it.came_from, "'" + it.value + "' is not true or false");
+            add(found, it.source, "'" + it.value + "' is not true or false");
         return;
     }
 }
@@ -185,11 +184,11 @@
         const std::string variable = variable_of(it.name);
         if (const char* text = variables(variable.c_str())) {
             it.value = text;
-            it.came_from = variable;
+            it.source = variable;
         }
         if (parsed.count(it.name) > 0) {
             it.value = parsed[it.name].as<std::string>();
-            it.came_from = "--" + it.name;
+            it.source = "--" + it.name;
         }
     }
     if (parsed.count("positional") > 0)
@@ -258,7 +257,7 @@
 
 bool settings::given(const std::string& name) const
 {
-    return !find(name).came_from.empty();
+    return !find(name).source.empty();
 }
 
 std::string settings::help() const
--- a/libs/telemetry/crash_line.cpp
+++ b/libs/telemetry/crash_line.cpp
@@ -47,7 +47,7 @@
 
 } // namespace
 
-void write_crash_line(int descriptor, const std::string& host)
+void install_crash_handler(int descriptor, const std::string& host)
 {
     auto* const made = new prepared_lines{.descriptor = descriptor};
     const event_description& what = *find_event(event::node_failed);
--- a/libs/telemetry/crash_line_test.cpp
+++ b/libs/telemetry/crash_line_test.cpp
@@ -39,7 +39,7 @@
     ::setrlimit(RLIMIT_CORE, &no_core);
     // What a failed assertion says belongs to the child.
     ::dup2(::open("/dev/null", O_WRONLY), STDERR_FILENO);
-    write_crash_line(descriptor, "n1");
+    install_crash_handler(descriptor, "n1");
     what();
     ::_exit(0);
 }
--- a/libs/telemetry/service_level.cpp
+++ b/libs/telemetry/service_level.cpp
@@ -69,8 +69,8 @@
     return objective.window;
 }
 
-burn_cause judge(const service_level_objective& objective,
-                 const request_sample& sample)
+burn_cause classify(const service_level_objective& objective,
+                    const request_sample& sample)
 {
     if (sample.doubled)
         return burn_cause::doubled;
@@ -173,30 +173,32 @@
     std::vector<service_level_objective> objectives)
 {
     const std::lock_guard lock(mutex_);
-    std::vector<measured> next;
+    std::vector<tracked_objective> next;
     for (service_level_objective& one : objectives) {
-        const auto same = std::ranges::find_if(
-            measured_, [&](const measured& it) { return it.objective == one; });
-        if (same != measured_.end()) {
+        const auto same =
+            std::ranges::find_if(tracked_, [&](const tracked_objective& it) {
+                return it.objective == one;
+            });
+        if (same != tracked_.end()) {
             next.push_back(std::move(*same));
             continue;
         }
         series all = make_series(one, false);
         next.push_back({std::move(one), std::move(all), {}});
     }
-    measured_ = std::move(next);
+    tracked_ = std::move(next);
 }
 
 service_level_meter::series&
-service_level_meter::team_series(measured& it, const team_id& team)
+service_level_meter::team_series(tracked_objective& it, const team_id& team)
 {
     const auto known = it.teams.find(team.str());
     if (known != it.teams.end())
         return known->second;
     std::size_t count = 0;
-    for (const measured& each : measured_)
+    for (const tracked_objective& each : tracked_)
         count += each.teams.size();
-    const std::string name = count < options_.most_team_series
+    const std::string name = count < options_.max_team_series
                                  ? team.str()
                                  : std::string(other_teams);
     return it.teams.try_emplace(name, make_series(it.objective, true))
@@ -206,10 +208,10 @@
 void service_level_meter::add(const request_sample& sample, instant now)
 {
     const std::lock_guard lock(mutex_);
-    for (measured& it : measured_) {
+    for (tracked_objective& it : tracked_) {
         if (it.objective.kind != sample.kind)
             continue;
-        const burn_cause cause = judge(it.objective, sample);
+        const burn_cause cause = classify(it.objective, sample);
         for (auto& [window, ring] : it.all.windows)
             ring.add(cause, now);
         for (auto& [window, ring] : team_series(it, sample.team).windows)
@@ -219,8 +221,8 @@
 
 // Those with most bad requests in the objective's window, and of these only
 // teams that have any.
-void service_level_meter::show_teams(const measured& it, instant now,
-                                     burn_snapshot& out) const
+void service_level_meter::add_worst_teams(const tracked_objective& it,
+                                          instant now, burn_snapshot& out) const
 {
     std::vector<std::pair<std::uint64_t, const std::string*>> worst;
     for (const auto& [team, one] : it.teams) {
@@ -228,7 +230,8 @@
         if (bad > 0)
             worst.emplace_back(bad, &team);
     }
-    const std::size_t shown = std::min(worst.size(), options_.teams_shown);
+    const std::size_t shown =
+        std::min(worst.size(), options_.max_snapshot_teams);
     const auto larger = [](const auto& a, const auto& b) {
         return a.first != b.first ? a.first > b.first : *a.second < *b.second;
     };
@@ -245,11 +248,11 @@
 {
     const std::lock_guard lock(mutex_);
     burn_snapshot out;
-    for (const measured& it : measured_) {
+    for (const tracked_objective& it : tracked_) {
         out.objectives.emplace(it.objective.name, it.objective);
         for (const auto& [window, ring] : it.all.windows)
             out.counts[{it.objective.name, {}, window}] = ring.sum(now);
-        show_teams(it, now, out);
+        add_worst_teams(it, now, out);
     }
     return out;
 }
--- a/libs/telemetry/service_level_test.cpp
+++ b/libs/telemetry/service_level_test.cpp
@@ -38,20 +38,20 @@
 {
     auto objective = make_objective("o", "k", 0.99);
     auto it = make_sample("t", "k", seconds(1));
-    CHECK(judge(objective, it) == burn_cause::good);
+    CHECK(classify(objective, it) == burn_cause::good);
     it.total += duration(1);
-    CHECK(judge(objective, it) == burn_cause::slow);
+    CHECK(classify(objective, it) == burn_cause::slow);
     objective.measure = latency_measure::first_byte;
     it.first_byte = seconds(2);
-    CHECK(judge(objective, it) == burn_cause::slow);
+    CHECK(classify(objective, it) == burn_cause::slow);
     objective.measure = latency_measure::inter_token;
-    CHECK(judge(objective, it) == burn_cause::good);
+    CHECK(classify(objective, it) == burn_cause::good);
     it.end = request_end::refused;
-    CHECK(judge(objective, it) == burn_cause::refused);
+    CHECK(classify(objective, it) == burn_cause::refused);
     it.end = request_end::missing;
-    CHECK(judge(objective, it) == burn_cause::missing);
+    CHECK(classify(objective, it) == burn_cause::missing);
     it.doubled = true;
-    CHECK(judge(objective, it) == burn_cause::doubled);
+    CHECK(classify(objective, it) == burn_cause::doubled);
 }
 
 // The ring against a list of all events: a window may be short by up to one
@@ -148,8 +148,9 @@
 // beyond the limit count together, and only the worst are shown.
 TEST(service_level, teams_are_bounded)
 {
-    service_level_meter meter({make_objective("o", "k", 0.99)},
-                              {.most_team_series = 100, .teams_shown = 5});
+    service_level_meter meter(
+        {make_objective("o", "k", 0.99)},
+        {.max_team_series = 100, .max_snapshot_teams = 5});
     for (int n = 0; n < 1'000; ++n) {
         for (int times = 0; times <= n % 100; ++times)
             meter.add(make_sample("t" + std::to_string(n), "k", seconds(2)),
