--- a/libs/settings/settings.cpp
+++ b/libs/settings/settings.cpp
@@ -1,5 +1,6 @@
-// cxxopts splits the command line; every value is taken as text and checked
-// here, so that all faults come out together instead of at the first throw.
+// cxxopts only splits the command line. All values are read as text and
+// validated here, so that all errors are reported together instead of only the
+// first one that cxxopts would throw.
 
 #include "fennelladder/settings/settings.hpp"
 
@@ -45,7 +46,7 @@
     return text;
 }
 
-void add(findings& found, const std::string& place, std::string message)
+void add_finding(findings& found, const std::string& place, std::string message)
 {
     found.add({place, ""}, telemetry::event::setting_invalid,
               std::move(message));
@@ -80,24 +81,24 @@
                       std::string help)
 {
     assert(!values.empty());
-    entry made{.type = kind::choice,
-               .name = std::move(name),
-               .fallback = values.front(),
-               .unit = joined(values),
-               .help = std::move(help)};
-    made.values = std::move(values);
-    entries_.push_back(std::move(made));
+    entry setting{.type = kind::choice,
+                  .name = std::move(name),
+                  .fallback = values.front(),
+                  .unit = joined(values),
+                  .help = std::move(help)};
+    setting.values = std::move(values);
+    entries_.push_back(std::move(setting));
 }
 
-void settings::number(number_setting wanted)
+void settings::number(number_setting setting)
 {
     entries_.push_back({.type = kind::number,
-                        .name = std::move(wanted.name),
-                        .fallback = std::to_string(wanted.fallback),
-                        .unit = std::move(wanted.unit),
-                        .help = std::move(wanted.help),
-                        .low = wanted.low,
-                        .high = wanted.high});
+                        .name = std::move(setting.name),
+                        .fallback = std::to_string(setting.fallback),
+                        .unit = std::move(setting.unit),
+                        .help = std::move(setting.help),
+                        .low = setting.low,
+                        .high = setting.high});
 }
 
 void settings::milliseconds(std::string name, std::int64_t fallback,
@@ -137,21 +138,23 @@
         return;
     case kind::choice:
         if (std::ranges::find(it.values, it.value) == it.values.end())
-            add(found, it.source,
-                "'" + it.value + "' is not one of " + it.unit);
+            add_finding(found, it.source,
+                        "'" + it.value + "' is not one of " + it.unit);
         return;
     case kind::number:
         if (!parse_number(it.value, value)) {
-            add(found, it.source, "'" + it.value + "' is not a whole number");
+            add_finding(found, it.source,
+                        "'" + it.value + "' is not a whole number");
         } else if (value < it.low || value > it.high) {
-            add(found, it.source,
-                it.value + " is not within " + std::to_string(it.low) + " to " +
-                    std::to_string(it.high) + " " + it.unit);
+            add_finding(found, it.source,
+                        it.value + " is not within " + std::to_string(it.low) +
+                            " to " + std::to_string(it.high) + " " + it.unit);
         }
         return;
     case kind::flag:
         if (!is_true(it.value) && !is_false(it.value))
-            add(found, it.source, "'" + it.value + "' is not true or false");
+            add_finding(found, it.source,
+                        "'" + it.value + "' is not true or false");
         return;
     }
 }
@@ -178,7 +181,7 @@
         return;
     }
     for (const std::string& it : parsed.unmatched())
-        add(outcome.found, it, "no such setting of " + command_);
+        add_finding(outcome.found, it, "unknown option of command " + command_);
     for (entry& it : entries_) {
         it.value = it.fallback;
         const std::string variable = variable_of(it.name);
@@ -202,16 +205,17 @@
     try {
         read(argc, argv, variables, outcome);
     } catch (const cxxopts::exceptions::exception& failure) {
-        add(outcome.found, command_, failure.what());
+        add_finding(outcome.found, command_, failure.what());
     }
     if (outcome.stop)
         return outcome;
     for (const entry& it : entries_)
         check(it, outcome.found);
     if (positionals_.size() < positional_low_)
-        add(outcome.found, command_, "needs " + positional_name_);
+        add_finding(outcome.found, command_,
+                    "missing argument: " + positional_name_);
     if (positionals_.size() > positional_high_)
-        add(outcome.found, positionals_.back(), "unexpected argument");
+        add_finding(outcome.found, positionals_.back(), "unexpected argument");
     if (!outcome.found.empty()) {
         outcome.stop = true;
         outcome.exit_code = exit_bad_input;
--- a/libs/settings/settings_test.cpp
+++ b/libs/settings/settings_test.cpp
@@ -12,25 +12,25 @@
 
 settings sample()
 {
-    settings wanted("sample", "For tests.");
-    wanted.text("listen", "127.0.0.1:1", "address");
-    wanted.number({.name = "workers",
-                   .fallback = 8,
-                   .low = 1,
-                   .high = 64,
-                   .unit = "threads",
-                   .help = "pool size"});
-    wanted.choice("format", {"text", "json"}, "output");
-    wanted.flag("quiet", "say less");
-    wanted.positional("FILE", 0, 1, "a file");
-    return wanted;
+    settings options("sample", "For tests.");
+    options.text("listen", "127.0.0.1:1", "address");
+    options.number({.name = "workers",
+                    .fallback = 8,
+                    .low = 1,
+                    .high = 64,
+                    .unit = "threads",
+                    .help = "pool size"});
+    options.choice("format", {"text", "json"}, "output");
+    options.flag("quiet", "say less");
+    options.positional("FILE", 0, 1, "a file");
+    return options;
 }
 
-parse_outcome parse(settings& wanted, std::vector<const char*> args,
+parse_outcome parse(settings& options, std::vector<const char*> args,
                     std::map<std::string, std::string> variables = {})
 {
     args.insert(args.begin(), "sample");
-    return wanted.parse(
+    return options.parse(
         static_cast<int>(args.size()), args.data(), [&](const char* name) {
             const auto it = variables.find(name);
             return it == variables.end() ? nullptr : it->second.c_str();
@@ -41,28 +41,28 @@
 
 TEST_GROUP(settings){};
 
-TEST(settings, flag_wins_over_variable_and_variable_over_default)
+TEST(settings, flag_overrides_variable_and_variable_overrides_default)
 {
-    settings wanted = sample();
+    settings options = sample();
     const auto outcome =
-        parse(wanted, {"--workers", "9", "--quiet", "file.json"},
+        parse(options, {"--workers", "9", "--quiet", "file.json"},
               {{"FENNELLADDER_WORKERS", "7"}, {"FENNELLADDER_FORMAT", "json"}});
     CHECK_FALSE(outcome.stop);
-    LONGS_EQUAL(9, wanted.number_of("workers"));
-    STRCMP_EQUAL("json", wanted.text_of("format").c_str());
-    STRCMP_EQUAL("127.0.0.1:1", wanted.text_of("listen").c_str());
-    CHECK(wanted.flag_of("quiet"));
-    CHECK_FALSE(wanted.given("listen"));
-    STRCMP_EQUAL("file.json", wanted.positionals().at(0).c_str());
+    LONGS_EQUAL(9, options.number_of("workers"));
+    STRCMP_EQUAL("json", options.text_of("format").c_str());
+    STRCMP_EQUAL("127.0.0.1:1", options.text_of("listen").c_str());
+    CHECK(options.flag_of("quiet"));
+    CHECK_FALSE(options.given("listen"));
+    STRCMP_EQUAL("file.json", options.positionals().at(0).c_str());
 }
 
-// An operator starts a node with several bad settings: all of them are named
-// at once, each with the flag or variable that it came from.
-TEST(settings, all_bad_settings_are_reported_together)
+// A node started with several invalid settings reports all of them at once,
+// each with the flag or variable that set it.
+TEST(settings, all_invalid_settings_are_reported_together)
 {
-    settings wanted = sample();
+    settings options = sample();
     const auto outcome =
-        parse(wanted, {"--workers", "65", "--nonsense", "a", "b"},
+        parse(options, {"--workers", "65", "--nonsense", "a", "b"},
               {{"FENNELLADDER_FORMAT", "xml"}, {"FENNELLADDER_QUIET", "2"}});
     CHECK(outcome.stop);
     LONGS_EQUAL(2, outcome.exit_code);
@@ -72,7 +72,7 @@
         CHECK(text.find(place) != std::string::npos);
 }
 
-TEST(settings, numbers_are_whole_and_within_bounds)
+TEST(settings, numbers_are_integers_within_bounds)
 {
     struct
     {
@@ -83,8 +83,8 @@
                        {"", false},    {"1x", false},
                        {"1.5", false}, {"99999999999999999999", false}};
     for (const auto& it : cases) {
-        settings wanted = sample();
-        CHECK_EQUAL(it.good, !parse(wanted, {"--workers", it.text}).stop);
+        settings options = sample();
+        CHECK_EQUAL(it.good, !parse(options, {"--workers", it.text}).stop);
     }
 }
 
