--- a/include/fennelladder/telemetry/crash_line.hpp
+++ b/include/fennelladder/telemetry/crash_line.hpp
@@ -1,10 +1,10 @@
-// The last line in the log of a process that a signal ends.
+// Writes a final log line when a signal terminates the process.
 //
 //     install_crash_handler(STDOUT_FILENO, host);   // at start
 //
-// An assertion, or memory that isn't there, ends the process at once, which
-// cuts every request under way; without a line in the log that looks like a
-// power cut.
+// A failed assertion or an invalid memory access terminates the process at once
+// and cuts every request in flight. Without a line in the log this can't be
+// told from a power failure of the host.
 
 #ifndef FENNELLADDER_TELEMETRY_CRASH_LINE_HPP
 #define FENNELLADDER_TELEMETRY_CRASH_LINE_HPP
@@ -13,17 +13,17 @@
 
 namespace fennelladder::telemetry {
 
-/// From now on, when SIGABRT, SIGSEGV, SIGBUS or SIGFPE ends the
-/// process, it writes one JSON line to `descriptor` first: event 1007
-/// node_failed with `host` and the signal's number. The signal then ends the
-/// process as it would have, with a core file where those are kept.
+/// Installs a handler for SIGABRT, SIGSEGV, SIGBUS and SIGFPE that writes one
+/// JSON line to `descriptor`: event 1007 node_failed with `host` and the signal
+/// number. The signal then terminates the process by its default action, with a
+/// core file where core files are enabled.
 ///
-/// A stack that has overflowed leaves no room to write it. Lines that wait in
-/// a line_writer are lost.
+/// Nothing is written after a stack overflow, since the handler has no stack to
+/// run on. Lines buffered in a line_writer are lost.
 ///
-/// Precondition: `descriptor` stays open. A reader of it that stands still
-/// loses the line and doesn't hold up the end. Not thread safe; call it at
-/// start, once.
+/// Precondition: `descriptor` stays open. If its reader has stalled, the line
+/// is lost, but termination isn't delayed. Not thread safe; call it once, at
+/// start.
 void install_crash_handler(int descriptor, const std::string& host);
 
 } // namespace fennelladder::telemetry
--- a/include/fennelladder/telemetry/event_catalog.hpp
+++ b/include/fennelladder/telemetry/event_catalog.hpp
@@ -1,7 +1,8 @@
-// The numbered events of the product: log lines and findings carry them.
+// Catalogue of the numbered events that log lines and findings refer to.
 //
-// A number is never given to another event once released. docs/EVENTS.md
-// lists the same events for operators; a test compares the two both ways.
+// A released number is never reused for another event. docs/EVENTS.md lists the
+// same events for operators; a test checks that neither list lacks an event of
+// the other.
 //
 // Ranges: 1000 settings and process, 1100 manifest and configuration,
 // 1200 platform, 1300 journal, 1400 budgets and bills, 1500 requests,
@@ -25,7 +26,7 @@
     error
 };
 
-/// One entry of the catalogue.
+/// Catalogue entry of an event.
 struct event_description
 {
     int number;
@@ -34,13 +35,13 @@
     std::string_view meaning; ///< One sentence for operators.
 };
 
-/// All events in order of their number.
+/// All events, sorted by number.
 std::span<const event_description> event_catalog();
 
-/// The entry of `number`, or nullptr.
+/// The entry of event `number`, or nullptr if there is none.
 const event_description* find_event(int number);
 
-/// Numbers as constants, for use in code.
+/// Event numbers by name.
 namespace event {
 constexpr int setting_invalid = 1000;
 constexpr int node_started = 1001;
--- a/include/fennelladder/telemetry/line_writer.hpp
+++ b/include/fennelladder/telemetry/line_writer.hpp
@@ -1,18 +1,18 @@
-// Writes log lines to a descriptor without ever blocking, within a volume.
+// Writes log lines to a descriptor without blocking and at a limited rate.
 //
 //     line_writer out(STDOUT_FILENO, options);
-//     out.add(what, std::move(line), now);     // from the event's place
+//     out.add(what, std::move(line), now);     // where the event occurs
 //     out.flush(now);                          // from a timer
 //
-// Each event has a budget of lines a second, larger for warnings and errors
-// than for what goes well, so that a flood of one event can't push out the
-// others, nor successes the failures. What exceeds it is counted, and one
-// line a second says how many lines of which events were left out.
+// Each event has its own limit of lines per second, higher for warnings and
+// errors than for other events, so that a flood of one event can't displace
+// other events, nor successes the failures. Lines over the limit are dropped
+// and counted; at most once a second, a log_lines_dropped line says how many
+// lines of which events were dropped.
 //
-// The descriptor is asked before each write whether it takes one; a reader
-// that stands still costs lines, which are counted too, and nothing else. A
-// piece of PIPE_BUF bytes at most is written at once: a pipe that has room
-// takes that much without blocking.
+// The descriptor is polled before each write. If its reader stalls, lines are
+// dropped and counted, but the caller isn't blocked. Each write is at most
+// PIPE_BUF bytes, which a pipe that polls as writable takes without blocking.
 //
 // Not thread safe.
 
@@ -31,11 +31,11 @@
 
 struct line_writer_options
 {
-    /// Lines a second of one event. A node of today's fleets carries some
-    /// ten requests a second, one of the planned ones a dozen.
-    int info_lines_per_second = 60;
-    int warning_lines_per_second = 120;
-    std::size_t buffer_bytes = 262'144; ///< Waiting to be written.
+    /// Limits for each event. A node of present fleets handles about ten
+    /// requests a second, a node of planned fleets about a dozen.
+    int info_lines_per_second = 60;     ///< Also for debug events.
+    int warning_lines_per_second = 120; ///< Also for errors.
+    std::size_t buffer_bytes = 262'144; ///< Limit of unwritten lines.
 };
 
 class line_writer
@@ -43,19 +43,19 @@
 public:
     line_writer(int descriptor, line_writer_options options);
 
-    /// Takes a line without its end. Drops and counts it when its event's
-    /// budget or the buffer is used up.
+    /// Queues `line`, which has no newline at its end. Drops and counts it if
+    /// its event has reached its limit or the buffer is full.
     void add(const event_description& what, const std::string& line,
              instant now);
 
-    /// Writes what the descriptor takes now.
+    /// Writes as many queued bytes as the descriptor takes without blocking.
     void flush(instant now);
 
-    /// Lines left out since the start.
+    /// Number of lines dropped since construction.
     std::uint64_t dropped() const { return dropped_; }
 
 private:
-    struct budget
+    struct rate_budget
     {
         instant second;
         int used = 0;
@@ -67,7 +67,7 @@
     const int descriptor_;
     const line_writer_options options_;
     std::string buffer_;
-    std::map<int, budget> budgets_;
+    std::map<int, rate_budget> budgets_;
     std::map<int, std::uint64_t> dropped_by_event_; ///< Not yet reported.
     std::uint64_t dropped_ = 0;
     instant last_report_;
--- a/include/fennelladder/telemetry/log.hpp
+++ b/include/fennelladder/telemetry/log.hpp
@@ -1,15 +1,16 @@
-// Structured log: numbered events, one line each.
+// Structured logging of numbered events, one line each.
 //
 //     log_event(event::node_started, {{"listen", address}});
 //
-// writes, by setting, one line
+// writes, depending on log_options, either one line
 //
 //     2026-01-02T03:04:05.678Z event=1001 name=node_started
 //     level=info listen=127.0.0.1:8080
 //
-// or the same as a JSON object. Severity comes from the event catalogue. A
-// value with a blank, quote or equals sign is quoted. Lines go to standard
-// error through easylogging++.
+// or a JSON object with the same fields. Severity comes from the event
+// catalogue. An empty value, or one with a blank, tab, newline, quote or equals
+// sign, is quoted. Lines go to standard error through easylogging++ unless a
+// sink is set.
 
 #ifndef FENNELLADDER_TELEMETRY_LOG_HPP
 #define FENNELLADDER_TELEMETRY_LOG_HPP
@@ -24,35 +25,36 @@
 
 namespace fennelladder::telemetry {
 
-/// How lines are written.
+/// Format and verbosity of the log.
 struct log_options
 {
-    bool json = false;
+    bool json = false; ///< JSON objects instead of key=value text.
     severity lowest = severity::info; ///< Events below it are dropped.
 };
 
-/// One name and value of a line. Names are snake_case.
+/// A field of a log line. Names are snake_case.
 struct log_field
 {
     std::string_view name;
     std::string value;
 };
 
-/// Sets how lines are written from now on. Thread safe; call it at start.
+/// Applies `options` to all later lines. Thread safe; call it at start.
 void configure_log(const log_options& options);
 
-/// Takes finished lines (without time or line end) in place of
+/// Receives formatted lines, without time stamp or newline, in place of
 /// easylogging++, whose output blocks the caller when its reader is slow.
 using log_sink =
     std::function<void(const event_description& what, std::string line)>;
 
-/// Sends all lines to `sink` from now on. Not thread safe; call it at start.
+/// Sends all later lines to `sink`. Not thread safe; call it at start.
 void set_log_sink(log_sink sink);
 
-/// Writes one line. Precondition: `number` is in the catalogue. Thread safe.
+/// Writes one line, unless the event's severity is below the configured one.
+/// Precondition: `number` is in the catalogue. Thread safe.
 void log_event(int number, std::initializer_list<log_field> fields = {});
 
-/// The line without its time, as log_event() writes it.
+/// The line that log_event() writes, without time stamp and newline.
 std::string format_event(const event_description& what,
                          std::span<const log_field> fields, bool json);
 
--- a/include/fennelladder/telemetry/metrics.hpp
+++ b/include/fennelladder/telemetry/metrics.hpp
@@ -6,10 +6,11 @@
 //     answered.add();
 //     std::string page = registry.to_prometheus();
 //
-// Ask for a metric once and keep the reference: looking it up takes a lock,
-// using it does not (a summary takes its own). References stay valid as long
-// as the registry. The number of series is bounded; past it everything goes
-// into one overflow series per name, so that labels can't eat the memory.
+// Look up a metric once and keep the reference: lookup locks the registry, use
+// doesn't (a summary has a lock of its own). References stay valid as long as
+// the registry. The number of series is bounded; further ones share an overflow
+// series per name, so that an unbounded set of label values can't exhaust
+// memory.
 
 #ifndef FENNELLADDER_TELEMETRY_METRICS_HPP
 #define FENNELLADDER_TELEMETRY_METRICS_HPP
@@ -36,7 +37,7 @@
 
 using labels = std::vector<label>;
 
-/// A number that only grows. Thread safe.
+/// A monotonically increasing number. Thread safe.
 class counter
 {
 public:
@@ -54,7 +55,7 @@
     std::atomic<std::uint64_t> value_{0};
 };
 
-/// A number that goes up and down. Thread safe.
+/// A number that can rise and fall. Thread safe.
 class gauge
 {
 public:
@@ -87,13 +88,14 @@
     summary(const summary&) = delete;
     summary& operator=(const summary&) = delete;
 
-    /// Adds a value; seconds where it is a time.
+    /// Adds a value. Durations are in seconds.
     void observe(double value);
 
     std::uint64_t count() const;
     double sum() const;
 
-    /// Estimate of the quantile at 0.5, 0.95 or 0.99; 0 without values.
+    /// Estimated quantile; 0 without values. Precondition: `probability` is
+    /// 0.5, 0.95 or 0.99.
     double quantile(double probability) const;
 
 private:
@@ -106,13 +108,15 @@
 class metrics
 {
 public:
+    /// For counters, gauges and summaries each; overflow series not counted.
     static constexpr std::size_t max_series = 20'000;
 
-    counter& counter_of(const std::string& name, const labels& where = {});
-    gauge& gauge_of(const std::string& name, const labels& where = {});
-    summary& summary_of(const std::string& name, const labels& where = {});
+    counter& counter_of(const std::string& name, const labels& label_set = {});
+    gauge& gauge_of(const std::string& name, const labels& label_set = {});
+    summary& summary_of(const std::string& name, const labels& label_set = {});
 
-    /// All series as text, sorted by name.
+    /// All series in the Prometheus text format: counters, gauges, then
+    /// summaries, each sorted by name.
     std::string to_prometheus() const;
 
 private:
@@ -123,9 +127,9 @@
 
     template <class Metric>
     Metric& find(table<Metric>& all, const std::string& name,
-                 const labels& where);
+                 const labels& label_set);
 
-    mutable std::mutex mutex_; // guards the three tables, not their metrics
+    mutable std::mutex mutex_; // Guards the tables, not the metrics in them.
     table<counter> counters_;
     table<gauge> gauges_;
     table<summary> summaries_;
--- a/include/fennelladder/telemetry/service_level.hpp
+++ b/include/fennelladder/telemetry/service_level.hpp
@@ -1,21 +1,23 @@
-// How fast requests use up what the service-level objectives allow.
+// Measures how fast requests use up the error budgets of service-level
+// objectives.
 //
-// An objective says which share of a kind of caller's requests must be
-// answered whole, once and in time. What falls short burns its error budget,
-// for one of four causes. The burn rate is the share that fell short, divided
-// by the share that may: at 1 the budget lasts exactly its window.
+// An objective states which share of a caller kind's requests must be answered
+// completely, exactly once and in time. Other requests are bad, for one of four
+// causes, and use up its error budget. The burn rate is the share of bad
+// requests divided by the share allowed: at 1 the budget lasts exactly its
+// window.
 //
 //     service_level_meter meter(objectives, {});
 //     meter.add({team, kind, request_end::answered, false, first, gap, total},
 //               now);
-//     burn_snapshot seen = meter.snapshot(now);
-//     page += to_prometheus(seen);            // on a node's /metrics
-//     seen.merge(*parse_prometheus(other));   // in the report
+//     burn_snapshot counts = meter.snapshot(now);
+//     page += to_prometheus(counts);          // on a node's /metrics
+//     counts.merge(*parse_prometheus(other)); // in the report
 //
-// Counts are kept per objective over six windows and per objective and team
-// over two, in rings of cells, so that memory doesn't grow with requests. A
-// window's count is short by up to one cell (a twelfth, for teams a sixth) at
-// its far end.
+// Counts are kept per objective over six sliding windows, and per objective and
+// team over two, in ring buffers of cells, so that memory doesn't grow with the
+// number of requests. A window's count lacks up to one cell at its old end (a
+// twelfth of the window, for teams a sixth).
 
 #ifndef FENNELLADDER_TELEMETRY_SERVICE_LEVEL_HPP
 #define FENNELLADDER_TELEMETRY_SERVICE_LEVEL_HPP
@@ -36,21 +38,21 @@
 
 namespace fennelladder::telemetry {
 
-/// What an objective looks at.
+/// The latency that an objective limits.
 enum class latency_measure : std::uint8_t
 {
     first_byte,
-    inter_token,
+    inter_token, ///< Longest gap between two tokens.
     total
 };
 
-/// A service-level objective, as the manifest gives it.
+/// A service-level objective, as defined in the manifest.
 struct service_level_objective
 {
     std::string name;
     caller_kind kind;
     latency_measure measure = latency_measure::total;
-    duration latency{};
+    duration latency{};   ///< Upper limit, inclusive.
     double target = 0.99; ///< Share that must be good, 0 to 1.
     duration window = hours(24 * 28);
 
@@ -61,11 +63,11 @@
 enum class request_end : std::uint8_t
 {
     answered,
-    refused, ///< Told "not run".
-    missing  ///< Told "unknown", cut off, or never told anything.
+    refused, ///< The caller was told "not run".
+    missing  ///< The caller got "unknown", a cut answer, or nothing.
 };
 
-/// One request, counted when it ends.
+/// A finished request.
 struct request_sample
 {
     team_id team;
@@ -77,7 +79,7 @@
     duration total{};
 };
 
-/// Why a request does or doesn't count as good.
+/// Whether a request is good, or the cause why it is bad.
 enum class burn_cause : std::uint8_t
 {
     good,
@@ -92,8 +94,8 @@
 /// "good", "slow", ...
 std::string_view to_string(burn_cause cause);
 
-/// How `sample` counts for `objective`. The worst cause wins: doubled, then
-/// missing, refused, slow.
+/// The cause under which `sample` counts for `objective`. If several apply, the
+/// worst one wins: doubled, then missing, refused, slow.
 burn_cause classify(const service_level_objective& objective,
                     const request_sample& sample);
 
@@ -114,7 +116,7 @@
     bool operator==(const burn_counts&) const = default;
 };
 
-/// The windows that burn rates are taken over; `whole` is the objective's.
+/// Windows over which burn rates are computed; `whole` is the objective's own.
 enum class burn_window : std::uint8_t
 {
     minutes_5,
@@ -130,11 +132,11 @@
 /// "5m", "30m", "1h", "6h", "3d", "whole".
 std::string_view to_string(burn_window window);
 
-/// Length of a window of `objective`.
+/// Length of `window` for `objective`.
 duration length_of(burn_window window,
                    const service_level_objective& objective);
 
-/// Counts over one sliding window.
+/// Counts over one sliding window. Not thread safe.
 class window_ring
 {
 public:
@@ -147,7 +149,7 @@
 private:
     struct cell
     {
-        std::int64_t number = -1; ///< Which cell of time it holds.
+        std::int64_t number = -1; ///< Start time divided by the cell length.
         std::array<std::uint32_t, cause_count> by_cause{};
     };
 
@@ -157,7 +159,7 @@
     std::vector<cell> cells_;
 };
 
-/// What a count is about. An empty team: all teams together.
+/// Key of a count. An empty team stands for all teams together.
 struct burn_key
 {
     std::string objective;
@@ -167,49 +169,51 @@
     friend auto operator<=>(const burn_key&, const burn_key&) = default;
 };
 
-/// Counts at one time, of one node or, merged, of many.
+/// Counts at one point in time, of one node or merged from several.
 struct burn_snapshot
 {
     std::map<std::string, service_level_objective> objectives;
     std::map<burn_key, burn_counts> counts;
 
-    /// Adds another node's counts. Objectives of the same name are taken to
-    /// be the same; the first one's definition stays.
+    /// Adds another node's counts. Objectives of the same name are assumed to
+    /// be the same; the definition present first is kept.
     void merge(const burn_snapshot& other);
 
-    /// The counts of a key, zero when there are none.
+    /// The counts of a key, zero if there are none.
     burn_counts of(const std::string& objective, const std::string& team,
                    burn_window window) const;
 };
 
 struct meter_options
 {
-    /// Teams counted by themselves, over all objectives; later ones count
-    /// under `other_teams` until the process ends. 700 bytes each.
+    /// Maximum number of team series, summed over all objectives. Further
+    /// teams count under `other_teams` until the process ends. A series takes
+    /// 700 bytes.
     std::size_t max_team_series = 10'000;
 
-    /// Teams in a snapshot, for each objective those with most bad requests:
-    /// bounds what a node shows at /metrics.
+    /// Maximum number of teams per objective in a snapshot, those with the
+    /// most bad requests. Bounds the size of a node's /metrics page.
     std::size_t max_snapshot_teams = 50;
 };
 
-/// The name under which teams beyond the limit are counted.
+/// Name under which teams beyond the limit are counted.
 constexpr std::string_view other_teams = "(other)";
 
-/// Counts requests. Thread safe; add() takes one lock for a few additions.
+/// Counts requests by objective, cause and team. Thread safe; add() holds a
+/// lock for a few additions.
 class service_level_meter
 {
 public:
     service_level_meter(std::vector<service_level_objective> objectives,
                         meter_options options);
 
-    /// Counts a request under every objective of its kind. `now` must not go
-    /// back by more than a cell.
+    /// Counts a request under every objective of its caller kind. `now` must
+    /// not go back by more than a cell.
     void add(const request_sample& sample, instant now);
 
     burn_snapshot snapshot(instant now) const;
 
-    /// Takes over changed objectives; counts of those that stay are kept.
+    /// Replaces the objectives; unchanged ones keep their counts.
     void set_objectives(std::vector<service_level_objective> objectives);
 
 private:
@@ -233,23 +237,23 @@
 
     const meter_options options_;
 
-    // Both guarded by mutex_, which is a leaf.
+    // No other lock is taken while this one is held.
     mutable std::mutex mutex_;
-    std::vector<tracked_objective> tracked_;
+    std::vector<tracked_objective> tracked_; // Guarded by mutex_.
 };
 
-/// The snapshot as lines of the Prometheus text format:
+/// Formats a snapshot as lines of the Prometheus text format:
 ///
 ///   fennelladder_service_level_objective{objective="..",kind="..",
 ///     measure="total",latency_ns="..",window_ns=".."} 0.999
 ///   fennelladder_service_level_requests{objective="..",team="..",
 ///     window="1h",cause="slow"} 17
 ///
-/// Counts of zero are left out.
-std::string to_prometheus(const burn_snapshot& seen);
+/// Zero counts are omitted.
+std::string to_prometheus(const burn_snapshot& snapshot);
 
-/// Reads such lines from a /metrics page and passes over all others. Fails
-/// with `corrupt` when one of them can't be read.
+/// Parses such lines from a /metrics page and skips all others. Fails with
+/// `corrupt` if one of them is malformed.
 result<burn_snapshot> parse_prometheus(std::string_view page);
 
 } // namespace fennelladder::telemetry
--- a/libs/telemetry/burn_page.cpp
+++ b/libs/telemetry/burn_page.cpp
@@ -1,7 +1,7 @@
-// The report as a page. The plot has a group of bars for each objective, a
-// bar for each window, stacked by cause and as high as the burn rate on a
-// scale of square roots, so that 1 and 14.4 can both be read; lines mark the
-// rates that raise a state.
+// Renders the report as an HTML page. The plot has a group of bars for each
+// objective with one bar per window, stacked by cause. The height of a bar is
+// the burn rate on a square-root scale, so that 1 and 14.4 can both be read;
+// lines mark the rates that raise an alert.
 
 #include "fennelladder/telemetry/burn_report.hpp"
 
@@ -19,7 +19,7 @@
 constexpr double bar_width = 16;
 constexpr double group_gap = 30;
 constexpr double left_margin = 60;
-constexpr double highest_rate = 40; ///< Bars are cut off here.
+constexpr double max_rate = 40; ///< Higher rates are drawn at this one.
 
 constexpr std::array<std::string_view, cause_count> colors = {
     "#ffffff", "#d98c00", "#b3261e", "#6a3fa0", "#4f6d7a"};
@@ -50,7 +50,7 @@
 
 double height_of(double rate)
 {
-    return plot_height * std::sqrt(std::min(rate, highest_rate) / highest_rate);
+    return plot_height * std::sqrt(std::min(rate, max_rate) / max_rate);
 }
 
 double y_of(double rate)
@@ -113,7 +113,7 @@
     for (std::size_t n = 1; n < cause_count; ++n)
         out << "<span style=\"color:" << colors[n] << "\">&#9632;</span> "
             << to_string(burn_cause(n)) << ' ';
-    out << "&mdash; height: burn rate, square-root scale up to " << highest_rate
+    out << "&mdash; height: burn rate, square-root scale up to " << max_rate
         << "</p>\n";
 }
 
@@ -124,7 +124,7 @@
         out << "<td>" << counts.by_cause[n] << "</td>";
 }
 
-constexpr std::string_view cause_heads =
+constexpr std::string_view cause_headers =
     "<th>requests</th><th>slow</th><th>missing</th><th>doubled</th>"
     "<th>refused</th></tr>\n";
 
@@ -133,7 +133,7 @@
     out << "<table><tr><th>objective</th><th>caller kind</th><th>target</th>"
            "<th>left</th><th>5m</th><th>30m</th><th>1h</th><th>6h</th>"
            "<th>3d</th><th>state</th>"
-        << cause_heads;
+        << cause_headers;
     for (const objective_row& it : report.objectives) {
         out << "<tr class=\"" << to_string(it.state) << "\"><td>"
             << escape(it.objective.name) << "</td><td>"
@@ -154,7 +154,7 @@
     out << "<table><tr><th>caller kind</th><th>worst "
            "objective</th><th>left</th>"
            "<th>state</th>"
-        << cause_heads;
+        << cause_headers;
     for (const kind_row& it : report.kinds) {
         out << "<tr class=\"" << to_string(it.state) << "\"><td>"
             << escape(it.kind.str()) << "</td><td>" << escape(it.objective)
@@ -170,7 +170,7 @@
 {
     out << "<table><tr><th>team</th><th>objective</th><th>of bad</th>"
            "<th>1h</th>"
-        << cause_heads;
+        << cause_headers;
     for (const team_row& it : report.teams) {
         out << "<tr><td>" << escape(it.team) << "</td><td>"
             << escape(it.objective) << "</td><td>" << it.share * 100
--- a/libs/telemetry/burn_report.cpp
+++ b/libs/telemetry/burn_report.cpp
@@ -13,15 +13,15 @@
 
 using nlohmann::json;
 
-// A target of 1 would make any single failure an infinite rate.
-constexpr double least_allowance = 1e-6;
+// With a target of 1, one bad request would give an infinite burn rate.
+constexpr double min_allowance = 1e-6;
 
 double allowance(double target)
 {
-    return std::max(1 - target, least_allowance);
+    return std::max(1 - target, min_allowance);
 }
 
-burn_state state_of(const std::array<double, window_count>& rates)
+burn_state alert_state(const std::array<double, window_count>& rates)
 {
     for (const burn_alert& it : burn_alerts) {
         if (rates[std::size_t(it.shorter)] >= it.rate &&
@@ -32,21 +32,22 @@
 }
 
 objective_row make_objective_row(const service_level_objective& objective,
-                                 const burn_snapshot& seen)
+                                 const burn_snapshot& snapshot)
 {
     objective_row row;
     row.objective = objective;
     for (std::size_t n = 0; n < window_count; ++n) {
-        row.counts[n] = seen.of(objective.name, {}, burn_window(n));
+        row.counts[n] = snapshot.of(objective.name, {}, burn_window(n));
         row.rates[n] = burn_rate(row.counts[n], objective.target);
     }
     row.left = budget_left(row.counts[std::size_t(burn_window::whole)],
                            objective.target);
-    row.state = state_of(row.rates);
+    row.state = alert_state(row.rates);
     return row;
 }
 
-// Rows come with the least budget left first, so a kind's first is its worst.
+// Rows are sorted by budget left, least first, so a kind's first row is its
+// worst objective.
 std::vector<kind_row> make_kind_rows(const std::vector<objective_row>& rows)
 {
     std::vector<kind_row> list;
@@ -64,18 +65,19 @@
     return list;
 }
 
-std::vector<team_row> make_team_rows(const burn_snapshot& seen,
+std::vector<team_row> make_team_rows(const burn_snapshot& snapshot,
                                      std::size_t limit)
 {
     std::vector<team_row> rows;
-    for (const auto& [key, counts] : seen.counts) {
+    for (const auto& [key, counts] : snapshot.counts) {
         const bool team = !key.team.empty() &&
                           key.window == burn_window::whole && counts.bad() > 0;
-        const auto objective = seen.objectives.find(key.objective);
-        if (!team || objective == seen.objectives.end())
+        const auto objective = snapshot.objectives.find(key.objective);
+        if (!team || objective == snapshot.objectives.end())
             continue;
-        const auto hour = seen.of(key.objective, key.team, burn_window::hour_1);
-        const auto all = seen.of(key.objective, {}, burn_window::whole);
+        const auto hour =
+            snapshot.of(key.objective, key.team, burn_window::hour_1);
+        const auto all = snapshot.of(key.objective, {}, burn_window::whole);
         rows.push_back({key.objective, key.team, counts,
                         burn_rate(hour, objective->second.target),
                         double(counts.bad()) /
@@ -100,7 +102,7 @@
     return rounded(share * 100, 2) + "%";
 }
 
-// What every table shows of counts.
+// Prints the columns of counts, which all tables share.
 void print_causes(std::ostream& out, const burn_counts& counts)
 {
     out << std::setw(11) << counts.total();
@@ -109,7 +111,7 @@
         out << std::setw(9) << counts.of(it);
 }
 
-constexpr std::string_view cause_heads =
+constexpr std::string_view cause_headers =
     "   requests     slow  missing  doubled  refused";
 
 json causes_json(const burn_counts& counts)
@@ -142,16 +144,16 @@
     return 1 - burn_rate(counts, target);
 }
 
-burn_report make_report(const burn_snapshot& seen,
+burn_report make_report(const burn_snapshot& snapshot,
                         const burn_report_options& options)
 {
     burn_report report;
-    report.objectives.reserve(seen.objectives.size());
-    for (const auto& [name, objective] : seen.objectives)
-        report.objectives.push_back(make_objective_row(objective, seen));
+    report.objectives.reserve(snapshot.objectives.size());
+    for (const auto& [name, objective] : snapshot.objectives)
+        report.objectives.push_back(make_objective_row(objective, snapshot));
     std::ranges::stable_sort(report.objectives, {}, &objective_row::left);
     report.kinds = make_kind_rows(report.objectives);
-    report.teams = make_team_rows(seen, options.team_limit);
+    report.teams = make_team_rows(snapshot, options.team_limit);
     return report;
 }
 
@@ -163,7 +165,7 @@
         << std::setw(11) << "left";
     for (std::size_t n = 0; n + 1 < window_count; ++n)
         out << std::setw(8) << to_string(burn_window(n));
-    out << std::setw(8) << "state" << cause_heads << '\n';
+    out << std::setw(8) << "state" << cause_headers << '\n';
     for (const objective_row& it : report.objectives) {
         out << std::left << std::setw(24) << it.objective.name << std::setw(16)
             << it.objective.kind.str() << std::right << std::setw(9)
@@ -178,7 +180,7 @@
     out << '\n'
         << std::left << std::setw(24) << "caller kind" << std::setw(24)
         << "worst objective" << std::right << std::setw(12) << "left"
-        << std::setw(8) << "state" << cause_heads << '\n';
+        << std::setw(8) << "state" << cause_headers << '\n';
     for (const kind_row& it : report.kinds) {
         out << std::left << std::setw(24) << it.kind.str() << std::setw(24)
             << it.objective << std::right << std::setw(12) << percent(it.left)
@@ -189,7 +191,7 @@
     out << '\n'
         << std::left << std::setw(40) << "team" << std::setw(24) << "objective"
         << std::right << std::setw(10) << "of bad" << std::setw(8) << "1h"
-        << cause_heads << '\n';
+        << cause_headers << '\n';
     for (const team_row& it : report.teams) {
         out << std::left << std::setw(40) << it.team << std::setw(24)
             << it.objective << std::right << std::setw(10) << percent(it.share)
--- a/libs/telemetry/crash_line.cpp
+++ b/libs/telemetry/crash_line.cpp
@@ -1,6 +1,6 @@
-// A signal may come in the middle of anything, an allocation included. So the
-// lines are made beforehand, and the handler only makes system calls that
-// POSIX allows there.
+// A signal may arrive at any point, also inside an allocation. The lines are
+// therefore formatted in advance, and the handler only makes system calls that
+// POSIX lists as async-signal-safe.
 
 #include "fennelladder/telemetry/crash_line.hpp"
 
@@ -17,29 +17,29 @@
 
 namespace {
 
-constexpr std::array ending_signals = {SIGABRT, SIGSEGV, SIGBUS, SIGFPE};
+constexpr std::array fatal_signals = {SIGABRT, SIGSEGV, SIGBUS, SIGFPE};
 
-/// Written before the handler is installed, read by it. Never freed: a signal
-/// may come while the process exits.
+/// Filled in before the handler is installed. Never freed, since a signal may
+/// arrive while the process exits.
 struct prepared_lines
 {
     int descriptor = STDOUT_FILENO;
-    std::array<std::string, ending_signals.size()> lines;
+    std::array<std::string, fatal_signals.size()> lines;
 };
 
 const prepared_lines* prepared = nullptr;
 
-/// The default action has been put back (SA_RESETHAND), so that the signal,
-/// raised again, ends the process once this returns.
-void write_and_end(int number)
+/// Signal handler. SA_RESETHAND has restored the default action, so the signal
+/// raised here terminates the process once the handler returns.
+void handle_fatal_signal(int number)
 {
-    for (std::size_t i = 0; i < ending_signals.size(); ++i) {
-        if (ending_signals[i] != number)
+    for (std::size_t i = 0; i < fatal_signals.size(); ++i) {
+        if (fatal_signals[i] != number)
             continue;
         const std::string& line = prepared->lines[i];
-        pollfd asked{prepared->descriptor, POLLOUT, 0};
-        // A pipe whose reader stands still would hold up the end.
-        if (::poll(&asked, 1, 0) == 1 && (asked.revents & POLLOUT) != 0)
+        pollfd request{prepared->descriptor, POLLOUT, 0};
+        // A write to a pipe whose reader has stalled would block termination.
+        if (::poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0)
             (void)!::write(prepared->descriptor, line.data(), line.size());
     }
     ::raise(number);
@@ -49,18 +49,18 @@
 
 void install_crash_handler(int descriptor, const std::string& host)
 {
-    auto* const made = new prepared_lines{.descriptor = descriptor};
+    auto* const new_lines = new prepared_lines{.descriptor = descriptor};
     const event_description& what = *find_event(event::node_failed);
-    for (std::size_t i = 0; i < ending_signals.size(); ++i) {
+    for (std::size_t i = 0; i < fatal_signals.size(); ++i) {
         const std::array<log_field, 2> fields = {
-            {{"host", host}, {"signal", std::to_string(ending_signals[i])}}};
-        made->lines[i] = format_event(what, fields, true) + "\n";
+            {{"host", host}, {"signal", std::to_string(fatal_signals[i])}}};
+        new_lines->lines[i] = format_event(what, fields, true) + "\n";
     }
-    prepared = made;
+    prepared = new_lines;
     struct sigaction action = {};
-    action.sa_handler = write_and_end;
+    action.sa_handler = handle_fatal_signal;
     action.sa_flags = static_cast<int>(SA_RESETHAND);
-    for (const int number : ending_signals)
+    for (const int number : fatal_signals)
         ::sigaction(number, &action, nullptr);
 }
 
--- a/libs/telemetry/crash_line_test.cpp
+++ b/libs/telemetry/crash_line_test.cpp
@@ -16,52 +16,54 @@
 
 namespace {
 
-/// How a process ended that did something, and what it wrote.
-struct ending
+/// How a child process ended and what it wrote.
+struct child_result
 {
-    int signal = 0; ///< 0: it ended by itself.
+    int signal = 0; ///< 0 if it exited normally.
     std::string written;
 };
 
-void fill(int descriptor)
+void fill_pipe(int descriptor)
 {
     ::fcntl(descriptor, F_SETFL, O_NONBLOCK);
-    const std::string some(4096, 'x');
-    while (::write(descriptor, some.data(), some.size()) > 0) {
+    const std::string bytes(4096, 'x');
+    while (::write(descriptor, bytes.data(), bytes.size()) > 0) {
     }
     ::fcntl(descriptor, F_SETFL, 0);
 }
 
-/// The child of a fork: writes its crash line into `descriptor`.
-[[noreturn]] void do_and_exit(int descriptor, const std::function<void()>& what)
+/// Runs `action` in a forked child whose crash line goes to `descriptor`.
+[[noreturn]] void run_child(int descriptor, const std::function<void()>& action)
 {
     const rlimit no_core{0, 0};
     ::setrlimit(RLIMIT_CORE, &no_core);
-    // What a failed assertion says belongs to the child.
+    // Keeps the child's assertion message out of the test output.
     ::dup2(::open("/dev/null", O_WRONLY), STDERR_FILENO);
     install_crash_handler(descriptor, "n1");
-    what();
+    action();
     ::_exit(0);
 }
 
-ending end_of(const std::function<void()>& what, bool reader_stands_still)
+child_result run_in_child(const std::function<void()>& action,
+                          bool reader_stalled)
 {
-    std::array<int, 2> ends{};
-    CHECK(::pipe(ends.data()) == 0);
-    if (reader_stands_still)
-        fill(ends[1]);
+    std::array<int, 2> pipe_ends{};
+    CHECK(::pipe(pipe_ends.data()) == 0);
+    if (reader_stalled)
+        fill_pipe(pipe_ends[1]);
     const pid_t child = ::fork();
     if (child == 0)
-        do_and_exit(ends[1], what);
-    ::close(ends[1]);
-    int how = 0;
-    ::waitpid(child, &how, 0);
-    ending out;
-    out.signal = WIFSIGNALED(how) ? WTERMSIG(how) : 0;
-    std::array<char, 4096> some{};
-    for (ssize_t n = 0; (n = ::read(ends[0], some.data(), some.size())) > 0;)
-        out.written.append(some.data(), static_cast<std::size_t>(n));
-    ::close(ends[0]);
+        run_child(pipe_ends[1], action);
+    ::close(pipe_ends[1]);
+    int status = 0;
+    ::waitpid(child, &status, 0);
+    child_result out;
+    out.signal = WIFSIGNALED(status) ? WTERMSIG(status) : 0;
+    std::array<char, 4096> bytes{};
+    for (ssize_t n = 0;
+         (n = ::read(pipe_ends[0], bytes.data(), bytes.size())) > 0;)
+        out.written.append(bytes.data(), static_cast<std::size_t>(n));
+    ::close(pipe_ends[0]);
     return out;
 }
 
@@ -76,36 +78,38 @@
 
 TEST_GROUP(crash_line){};
 
-// Story: all volunteers at a node lose their connections at one moment. Its
-// log ends in the middle of what went well, so that nobody can tell whether an
-// assertion ended the process or the host lost its power.
-TEST(crash_line, a_process_that_a_signal_ends_says_so)
+// All connections of a node break at once, and its log ends without an error.
+// Without a crash line, a failed assertion can't be told from a power failure
+// of the host.
+TEST(crash_line, a_fatal_signal_is_logged)
 {
     for (const int number : {SIGABRT, SIGSEGV, SIGBUS, SIGFPE}) {
-        const ending got = end_of([number] { ::raise(number); }, false);
-        LONGS_EQUAL(number, got.signal);
-        STRCMP_EQUAL(line_of(number).c_str(), got.written.c_str());
+        const child_result result =
+            run_in_child([number] { ::raise(number); }, false);
+        LONGS_EQUAL(number, result.signal);
+        STRCMP_EQUAL(line_of(number).c_str(), result.written.c_str());
     }
 }
 
-TEST(crash_line, a_failed_assertion_says_so)
+TEST(crash_line, a_failed_assertion_is_logged)
 {
-    const ending got = end_of([] { assert(::getpid() == 0); }, false);
-    LONGS_EQUAL(SIGABRT, got.signal);
-    STRCMP_EQUAL(line_of(SIGABRT).c_str(), got.written.c_str());
+    const child_result result =
+        run_in_child([] { assert(::getpid() == 0); }, false);
+    LONGS_EQUAL(SIGABRT, result.signal);
+    STRCMP_EQUAL(line_of(SIGABRT).c_str(), result.written.c_str());
 }
 
-// Story: whoever reads the log stands still as the process fails. It must end
-// all the same, so that it is started anew.
-TEST(crash_line, a_reader_that_stands_still_does_not_hold_up_the_end)
+// The reader of the log has stalled when the process fails. The process must
+// still terminate, so that it gets restarted.
+TEST(crash_line, a_stalled_reader_does_not_delay_termination)
 {
-    const ending got = end_of([] { std::abort(); }, true);
-    LONGS_EQUAL(SIGABRT, got.signal);
+    const child_result result = run_in_child([] { std::abort(); }, true);
+    LONGS_EQUAL(SIGABRT, result.signal);
 }
 
-TEST(crash_line, nothing_is_written_by_a_process_that_ends_by_itself)
+TEST(crash_line, a_normal_exit_writes_nothing)
 {
-    const ending got = end_of([] {}, false);
-    LONGS_EQUAL(0, got.signal);
-    STRCMP_EQUAL("", got.written.c_str());
+    const child_result result = run_in_child([] {}, false);
+    LONGS_EQUAL(0, result.signal);
+    STRCMP_EQUAL("", result.written.c_str());
 }
--- a/libs/telemetry/event_catalog.cpp
+++ b/libs/telemetry/event_catalog.cpp
@@ -1,5 +1,5 @@
-// The table may be written in any order; it is sorted when it's compiled. A
-// test holds it to docs/EVENTS.md.
+// Entries may be listed in any order; the table is sorted at compile time. A
+// test compares it with docs/EVENTS.md.
 
 #include "fennelladder/telemetry/event_catalog.hpp"
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr auto written = std::to_array<event_description>({
+constexpr auto unsorted_catalog = std::to_array<event_description>({
     {event::setting_invalid, severity::error, "setting_invalid",
      "A flag or environment variable has a value that can't be used."},
     {event::node_started, severity::info, "node_started",
@@ -250,7 +250,7 @@
 });
 
 constexpr auto catalog = [] {
-    auto sorted = written;
+    auto sorted = unsorted_catalog;
     std::ranges::sort(sorted, {}, &event_description::number);
     return sorted;
 }();
--- a/libs/telemetry/event_catalog_test.cpp
+++ b/libs/telemetry/event_catalog_test.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-// Rows of the form "| 1000 | error | setting_invalid | ... |".
+// Parses rows of the form "| 1000 | error | setting_invalid | ... |".
 std::map<int, std::string> documented_events()
 {
     std::ifstream in("docs/EVENTS.md");
-    std::map<int, std::string> found;
+    std::map<int, std::string> events;
     std::string line;
     while (std::getline(in, line)) {
         std::istringstream row(line);
@@ -23,18 +23,18 @@
         std::string level;
         std::string name;
         if (row >> bar >> number >> bar >> level >> bar >> name)
-            found[number] = name;
+            events[number] = name;
     }
-    return found;
+    return events;
 }
 
 } // namespace
 
 TEST_GROUP(event_catalog){};
 
-// An operator who looks up a number from a log must find it in the page, and
-// every number of the page must exist: the page is compared both ways.
-TEST(event_catalog, page_and_table_name_the_same_events)
+// Operators look up the numbers of log lines in docs/EVENTS.md. Compares both
+// ways: an event may neither lack its row, nor a row its event.
+TEST(event_catalog, documentation_and_catalog_list_the_same_events)
 {
     auto documented = documented_events();
     for (const event_description& it : event_catalog()) {
@@ -46,7 +46,7 @@
         FAIL(("only in docs/EVENTS.md: " + name).c_str());
 }
 
-TEST(event_catalog, is_sorted_and_findable)
+TEST(event_catalog, is_sorted_and_searchable)
 {
     int last = 0;
     for (const event_description& it : event_catalog()) {
--- a/libs/telemetry/line_writer.cpp
+++ b/libs/telemetry/line_writer.cpp
@@ -11,10 +11,10 @@
 
 constexpr duration report_period = seconds(1);
 
-bool takes_a_piece(int descriptor)
+bool is_writable(int descriptor)
 {
-    pollfd asked{descriptor, POLLOUT, 0};
-    return ::poll(&asked, 1, 0) == 1 && (asked.revents & POLLOUT) != 0;
+    pollfd request{descriptor, POLLOUT, 0};
+    return ::poll(&request, 1, 0) == 1 && (request.revents & POLLOUT) != 0;
 }
 
 } // namespace
@@ -25,15 +25,15 @@
 
 bool line_writer::consume_budget(const event_description& what, instant now)
 {
-    budget& it = budgets_[what.number];
+    rate_budget& it = budgets_[what.number];
     if (now - it.second >= seconds(1)) {
         it.second = now;
         it.used = 0;
     }
-    const int most = what.level >= severity::warning
-                         ? options_.warning_lines_per_second
-                         : options_.info_lines_per_second;
-    if (it.used >= most)
+    const int limit = what.level >= severity::warning
+                          ? options_.warning_lines_per_second
+                          : options_.info_lines_per_second;
+    if (it.used >= limit)
         return false;
     ++it.used;
     return true;
@@ -73,10 +73,10 @@
 {
     report_dropped(now);
     std::size_t done = 0;
-    while (done < buffer_.size() && takes_a_piece(descriptor_)) {
-        const std::size_t piece =
+    while (done < buffer_.size() && is_writable(descriptor_)) {
+        const std::size_t chunk =
             std::min<std::size_t>(buffer_.size() - done, PIPE_BUF);
-        const ssize_t n = ::write(descriptor_, buffer_.data() + done, piece);
+        const ssize_t n = ::write(descriptor_, buffer_.data() + done, chunk);
         if (n <= 0)
             break;
         done += static_cast<std::size_t>(n);
--- a/libs/telemetry/log.cpp
+++ b/libs/telemetry/log.cpp
@@ -1,5 +1,6 @@
-// easylogging++ owns the output and the time stamp; this file makes the line.
-// It is compiled into the library from the header package's own source.
+// easylogging++ adds the time stamp and writes the output; this file formats
+// the line. The library compiles easylogging++ from the source file that its
+// package ships.
 
 #include "fennelladder/telemetry/log.hpp"
 
@@ -15,7 +16,7 @@
 namespace {
 
 std::atomic<bool> as_json{false};
-std::atomic<severity> lowest_level{severity::info};
+std::atomic<severity> min_severity{severity::info};
 
 log_sink& sink()
 {
@@ -76,7 +77,7 @@
 void configure_log(const log_options& options)
 {
     as_json = options.json;
-    lowest_level = options.lowest;
+    min_severity = options.lowest;
     el::Configurations wanted;
     wanted.setToDefault();
     wanted.setGlobally(el::ConfigurationType::ToFile, "false");
@@ -96,7 +97,7 @@
 {
     const event_description* what = find_event(number);
     assert(what != nullptr);
-    if (what->level < lowest_level.load())
+    if (what->level < min_severity.load())
         return;
     std::string line =
         format_event(*what, {fields.begin(), fields.size()}, as_json);
--- a/libs/telemetry/log_test.cpp
+++ b/libs/telemetry/log_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(log){};
 
-TEST(log, lines_stay_one_line_and_parseable)
+TEST(log, special_characters_are_quoted_or_escaped)
 {
     struct
     {
--- a/libs/telemetry/metrics.cpp
+++ b/libs/telemetry/metrics.cpp
@@ -1,6 +1,6 @@
-// Quantiles are Boost.Accumulators' extended P-square: constant memory and
-// time per value, an estimate instead of the exact figure. Benches that have
-// to tell exact quantiles keep their values and sort them.
+// Quantiles come from the extended P-square algorithm of Boost.Accumulators,
+// which takes constant memory and constant time per value, but only estimates.
+// Benchmarks that need exact quantiles keep all values and sort them.
 
 #include "fennelladder/telemetry/metrics.hpp"
 
@@ -36,12 +36,12 @@
     return text;
 }
 
-std::string to_text(const labels& where)
+std::string format_labels(const labels& label_set)
 {
-    if (where.empty())
+    if (label_set.empty())
         return "";
     std::string text = "{";
-    for (const label& it : where) {
+    for (const label& it : label_set) {
         if (text.size() > 1)
             text += ",";
         text += it.name + "=\"" + escaped(it.value) + "\"";
@@ -100,10 +100,10 @@
     const std::lock_guard lock(mutex_);
     if (accumulators::count(state_->values) == 0)
         return 0;
-    const auto found = accumulators::extended_p_square(state_->values);
+    const auto quantiles = accumulators::extended_p_square(state_->values);
     for (std::size_t n = 0; n < probabilities.size(); ++n) {
         if (probabilities[n] == probability)
-            return found[static_cast<std::ptrdiff_t>(n)];
+            return quantiles[static_cast<std::ptrdiff_t>(n)];
     }
     assert(false);
     return 0;
@@ -111,10 +111,10 @@
 
 template <class Metric>
 Metric& metrics::find(table<Metric>& all, const std::string& name,
-                      const labels& where)
+                      const labels& label_set)
 {
     const std::lock_guard lock(mutex_);
-    series_key key{name, where};
+    series_key key{name, label_set};
     auto it = all.find(key);
     if (it == all.end()) {
         if (all.size() >= max_series)
@@ -126,19 +126,19 @@
     return *it->second;
 }
 
-counter& metrics::counter_of(const std::string& name, const labels& where)
+counter& metrics::counter_of(const std::string& name, const labels& label_set)
 {
-    return find(counters_, name, where);
+    return find(counters_, name, label_set);
 }
 
-gauge& metrics::gauge_of(const std::string& name, const labels& where)
+gauge& metrics::gauge_of(const std::string& name, const labels& label_set)
 {
-    return find(gauges_, name, where);
+    return find(gauges_, name, label_set);
 }
 
-summary& metrics::summary_of(const std::string& name, const labels& where)
+summary& metrics::summary_of(const std::string& name, const labels& label_set)
 {
-    return find(summaries_, name, where);
+    return find(summaries_, name, label_set);
 }
 
 std::string metrics::to_prometheus() const
@@ -148,11 +148,13 @@
     std::string last;
     for (const auto& [key, it] : counters_) {
         write_type(out, last, key.first, "counter");
-        out << key.first << to_text(key.second) << ' ' << it->value() << '\n';
+        out << key.first << format_labels(key.second) << ' ' << it->value()
+            << '\n';
     }
     for (const auto& [key, it] : gauges_) {
         write_type(out, last, key.first, "gauge");
-        out << key.first << to_text(key.second) << ' ' << it->value() << '\n';
+        out << key.first << format_labels(key.second) << ' ' << it->value()
+            << '\n';
     }
     for (const auto& [key, it] : summaries_) {
         write_type(out, last, key.first, "summary");
@@ -161,12 +163,12 @@
             std::ostringstream number;
             number << probability;
             with.push_back({"quantile", number.str()});
-            out << key.first << to_text(with) << ' '
+            out << key.first << format_labels(with) << ' '
                 << it->quantile(probability) << '\n';
         }
-        out << key.first << "_sum" << to_text(key.second) << ' ' << it->sum()
-            << '\n';
-        out << key.first << "_count" << to_text(key.second) << ' '
+        out << key.first << "_sum" << format_labels(key.second) << ' '
+            << it->sum() << '\n';
+        out << key.first << "_count" << format_labels(key.second) << ' '
             << it->count() << '\n';
     }
     return out.str();
--- a/libs/telemetry/metrics_test.cpp
+++ b/libs/telemetry/metrics_test.cpp
@@ -7,7 +7,7 @@
 
 TEST_GROUP(metrics){};
 
-TEST(metrics, series_are_told_apart_by_labels)
+TEST(metrics, labels_distinguish_series)
 {
     metrics registry;
     registry.counter_of("a_total", {{"kind", "x\"y"}}).add(3);
@@ -22,7 +22,7 @@
                  registry.to_prometheus().c_str());
 }
 
-TEST(metrics, quantiles_come_close)
+TEST(metrics, quantile_estimates_are_close)
 {
     summary values;
     for (int n = 1; n <= 10'000; ++n)
@@ -32,9 +32,9 @@
     DOUBLES_EQUAL(9'500, values.quantile(0.95), 200);
 }
 
-// A caller who sends a new label value with every request must not be able
-// to fill the node's memory: past the bound all land in one series.
-TEST(metrics, series_are_bounded)
+// A caller that causes a new label value with every request must not exhaust
+// the node's memory: series beyond the bound share one overflow series.
+TEST(metrics, number_of_series_is_bounded)
 {
     metrics registry;
     for (std::size_t n = 0; n < metrics::max_series + 10; ++n)
--- a/libs/telemetry/service_level.cpp
+++ b/libs/telemetry/service_level.cpp
@@ -1,6 +1,7 @@
-// A ring's cell remembers which cell of time it holds, so time that passes
-// without requests costs nothing: an outdated cell is cleared when it is next
-// written and passed over when it is read. Adding is O(objectives of a kind).
+// Each ring cell stores the number of the time slot that it counts, so idle
+// time costs nothing: an outdated cell is cleared when it is next written and
+// skipped when it is read. Adding a request is O(objectives of its caller
+// kind).
 
 #include "fennelladder/telemetry/service_level.hpp"
 
@@ -13,8 +14,8 @@
 
 namespace {
 
-constexpr std::size_t cells_of_all = 12;
-constexpr std::size_t cells_of_team = 6;
+constexpr std::size_t objective_cells = 12;
+constexpr std::size_t team_cells = 6;
 
 constexpr std::array<std::string_view, cause_count> cause_names = {
     "good", "slow", "missing", "doubled", "refused"};
@@ -154,19 +155,19 @@
 service_level_meter::make_series(const service_level_objective& objective,
                                  bool team) const
 {
-    series made;
+    series created;
     if (team) {
         for (const burn_window it : team_windows)
-            made.windows.emplace(
-                it, window_ring(length_of(it, objective), cells_of_team));
-        return made;
+            created.windows.emplace(
+                it, window_ring(length_of(it, objective), team_cells));
+        return created;
     }
     for (std::size_t n = 0; n < window_count; ++n) {
         const auto it = burn_window(n);
-        made.windows.emplace(
-            it, window_ring(length_of(it, objective), cells_of_all));
+        created.windows.emplace(
+            it, window_ring(length_of(it, objective), objective_cells));
     }
-    return made;
+    return created;
 }
 
 void service_level_meter::set_objectives(
@@ -219,8 +220,8 @@
     }
 }
 
-// Those with most bad requests in the objective's window, and of these only
-// teams that have any.
+// Adds the teams with the most bad requests in the objective's window; teams
+// without bad requests are left out.
 void service_level_meter::add_worst_teams(const tracked_objective& it,
                                           instant now, burn_snapshot& out) const
 {
@@ -230,14 +231,14 @@
         if (bad > 0)
             worst.emplace_back(bad, &team);
     }
-    const std::size_t shown =
+    const std::size_t limit =
         std::min(worst.size(), options_.max_snapshot_teams);
-    const auto larger = [](const auto& a, const auto& b) {
+    const auto more_bad_requests = [](const auto& a, const auto& b) {
         return a.first != b.first ? a.first > b.first : *a.second < *b.second;
     };
-    std::partial_sort(worst.begin(), worst.begin() + std::ptrdiff_t(shown),
-                      worst.end(), larger);
-    worst.resize(shown);
+    std::partial_sort(worst.begin(), worst.begin() + std::ptrdiff_t(limit),
+                      worst.end(), more_bad_requests);
+    worst.resize(limit);
     for (const auto& [bad, team] : worst) {
         for (const auto& [window, ring] : it.teams.at(*team).windows)
             out.counts[{it.objective.name, *team, window}] = ring.sum(now);
--- a/libs/telemetry/service_level_test.cpp
+++ b/libs/telemetry/service_level_test.cpp
@@ -23,11 +23,11 @@
 request_sample make_sample(const std::string& team, const std::string& kind,
                            duration total)
 {
-    request_sample made;
-    made.team = team_id(team);
-    made.kind = caller_kind(kind);
-    made.total = total;
-    return made;
+    request_sample sample;
+    sample.team = team_id(team);
+    sample.kind = caller_kind(kind);
+    sample.total = total;
+    return sample;
 }
 
 } // namespace
@@ -54,9 +54,9 @@
     CHECK(classify(objective, it) == burn_cause::doubled);
 }
 
-// The ring against a list of all events: a window may be short by up to one
-// cell at its far end, and never counts what is older than the window.
-TEST(service_level, a_window_is_exact_but_for_its_last_cell)
+// Compares the ring with a list of all events: a window may lack up to one cell
+// at its old end and never counts events older than the window.
+TEST(service_level, a_window_is_exact_except_for_its_oldest_cell)
 {
     random_source random(4);
     const duration length = minutes(6);
@@ -69,24 +69,25 @@
             now += duration(std::int64_t(random.below(1'000)) * 1'000'000'000);
         all.push_back(now);
         ring.add(burn_cause::slow, now);
-        std::uint64_t least = 0;
-        std::uint64_t most = 0;
+        std::uint64_t low = 0;
+        std::uint64_t high = 0;
         while (!all.empty() && all.front() <= now - length)
             all.pop_front();
         for (const instant it : all) {
-            ++most;
-            least += it > now - length + minutes(1);
+            ++high;
+            low += it > now - length + minutes(1);
         }
         const auto sum = ring.sum(now).bad();
-        CHECK(sum >= least && sum <= most);
+        CHECK(sum >= low && sum <= high);
     }
     CHECK(ring.sum(now + length).total() == 0);
 }
 
-// A target dies and dispatchers wait: their objective burns at once in every
-// window, inspectors' doesn't. An hour after the end the short window is quiet
-// again, so the page ends, while the day's budget still shows the loss.
-TEST(service_level, a_burst_pages_and_ends)
+// A target fails and only dispatchers' requests become slow: their objective
+// pages, that of inspectors stays quiet. An hour after recovery the short
+// window has no bad requests left, so the page clears, while the long windows
+// still raise a ticket and the budget stays exceeded.
+TEST(service_level, a_burst_pages_and_clears)
 {
     service_level_meter meter({make_objective("dispatch", "dispatcher", 0.999),
                                make_objective("inspect", "inspector", 0.95)},
@@ -125,7 +126,7 @@
     CHECK(row.left < 0);
 }
 
-TEST(service_level, rates_and_budgets)
+TEST(service_level, burn_rate_and_budget_left)
 {
     const struct
     {
@@ -144,9 +145,10 @@
     }
 }
 
-// Thousands of teams must not eat a node's memory or its metrics page: teams
-// beyond the limit count together, and only the worst are shown.
-TEST(service_level, teams_are_bounded)
+// Thousands of teams must not exhaust a node's memory or bloat its /metrics
+// page: teams beyond the limit are counted together, and a snapshot has only
+// those with the most bad requests.
+TEST(service_level, number_of_teams_is_bounded)
 {
     service_level_meter meter(
         {make_objective("o", "k", 0.99)},
@@ -156,42 +158,43 @@
             meter.add(make_sample("t" + std::to_string(n), "k", seconds(2)),
                       start);
     }
-    const auto seen = meter.snapshot(start);
+    const auto snapshot = meter.snapshot(start);
     std::set<std::string> teams;
-    for (const auto& [key, counts] : seen.counts)
+    for (const auto& [key, counts] : snapshot.counts)
         teams.insert(key.team);
-    CHECK_EQUAL(6, int(teams.size())); // Five, and "" for all.
+    CHECK_EQUAL(6, int(teams.size())); // Five teams, and "" for all of them.
     CHECK(teams.contains("t99"));
     CHECK(teams.contains(std::string(other_teams)));
-    CHECK_EQUAL(10 * 5'050, int(seen.of("o", "", burn_window::whole).bad()));
+    CHECK_EQUAL(10 * 5'050,
+                int(snapshot.of("o", "", burn_window::whole).bad()));
 }
 
-// The report adds up what many nodes show at /metrics; a page also has other
-// series, and a truncated one must be told.
-TEST(service_level, metrics_pages_add_up)
+// The report merges the /metrics pages of many nodes. A page also has other
+// series, which are skipped, and a truncated page must be rejected.
+TEST(service_level, metrics_pages_are_merged)
 {
     burn_snapshot sum;
     for (int node = 0; node < 3; ++node) {
         service_level_meter meter({make_objective("o", "k", 0.999)}, {});
         for (int n = 0; n <= node; ++n)
             meter.add(make_sample("t", "k", seconds(5)), start);
-        const auto seen = meter.snapshot(start);
+        const auto snapshot = meter.snapshot(start);
         const std::string page = "# HELP x\nother_total{a=\"b\"} 3\n" +
-                                 to_prometheus(seen) + "more 1\n";
-        const auto back = parse_prometheus(page);
-        CHECK(back.has_value());
-        CHECK(back->objectives == seen.objectives);
-        CHECK(back->of("o", "t", burn_window::hour_1) ==
-              seen.of("o", "t", burn_window::hour_1));
-        sum.merge(*back);
-        const auto cut = to_prometheus(seen);
-        CHECK(!parse_prometheus(cut.substr(0, cut.size() - 4)));
+                                 to_prometheus(snapshot) + "more 1\n";
+        const auto parsed = parse_prometheus(page);
+        CHECK(parsed.has_value());
+        CHECK(parsed->objectives == snapshot.objectives);
+        CHECK(parsed->of("o", "t", burn_window::hour_1) ==
+              snapshot.of("o", "t", burn_window::hour_1));
+        sum.merge(*parsed);
+        const auto text = to_prometheus(snapshot);
+        CHECK(!parse_prometheus(text.substr(0, text.size() - 4)));
     }
     CHECK_EQUAL(6, int(sum.of("o", "", burn_window::hours_6).bad()));
     CHECK_EQUAL(6, int(sum.of("o", "t", burn_window::whole).bad()));
 }
 
-TEST(service_level, renderers_tell_the_same)
+TEST(service_level, renderers_agree)
 {
     service_level_meter meter({make_objective("o<1>", "k", 0.99)}, {});
     auto sample = make_sample("t&co", "k", seconds(1));
--- a/libs/telemetry/service_level_text.cpp
+++ b/libs/telemetry/service_level_text.cpp
@@ -1,5 +1,6 @@
-// A snapshot's way through /metrics. Only lines that to_prometheus() writes
-// are understood: names and label order are fixed, ids have no quotes.
+// Formats snapshots for /metrics and parses them back. The parser only supports
+// lines as to_prometheus() writes them: names and label order are fixed, ids
+// contain no quotes.
 
 #include "fennelladder/telemetry/service_level.hpp"
 
@@ -12,9 +13,9 @@
 
 namespace {
 
-constexpr std::string_view objective_name =
+constexpr std::string_view objective_prefix =
     "fennelladder_service_level_objective{";
-constexpr std::string_view requests_name =
+constexpr std::string_view requests_prefix =
     "fennelladder_service_level_requests{";
 
 constexpr std::array<std::string_view, 3> measure_names = {
@@ -23,16 +24,17 @@
 using label_map = std::map<std::string, std::string, std::less<>>;
 
 template <class T>
-bool to_number(std::string_view text, T& number)
+bool parse_number(std::string_view text, T& number)
 {
     const char* end = text.data() + text.size();
     const auto [stop, ec] = std::from_chars(text.data(), end, number);
     return ec == std::errc() && stop == end;
 }
 
-// Splits `name="value",...} rest`; the rest is what follows the brace.
-std::optional<label_map> take_labels(std::string_view text,
-                                     std::string_view& rest)
+// Parses `name="value",...} rest` and sets `rest` to the text after "} ".
+// Returns nullopt if the text is malformed.
+std::optional<label_map> parse_labels(std::string_view text,
+                                      std::string_view& rest)
 {
     label_map labels;
     while (!text.starts_with('}')) {
@@ -55,8 +57,8 @@
 }
 
 template <class E, std::size_t N>
-bool to_enum(const std::array<std::string_view, N>& names,
-             std::string_view text, E& value)
+bool parse_enum(const std::array<std::string_view, N>& names,
+                std::string_view text, E& value)
 {
     for (std::size_t n = 0; n < N; ++n) {
         if (names[n] == text) {
@@ -67,8 +69,8 @@
     return false;
 }
 
-bool read_objective(const label_map& labels, std::string_view value,
-                    burn_snapshot& out)
+bool parse_objective(const label_map& labels, std::string_view value,
+                     burn_snapshot& out)
 {
     service_level_objective it;
     std::int64_t latency = 0;
@@ -78,10 +80,10 @@
         labels.contains("measure") && labels.contains("latency_ns") &&
         labels.contains("window_ns");
     if (!complete ||
-        !to_enum(measure_names, labels.at("measure"), it.measure) ||
-        !to_number(labels.at("latency_ns"), latency) ||
-        !to_number(labels.at("window_ns"), window) ||
-        !to_number(value, it.target))
+        !parse_enum(measure_names, labels.at("measure"), it.measure) ||
+        !parse_number(labels.at("latency_ns"), latency) ||
+        !parse_number(labels.at("window_ns"), window) ||
+        !parse_number(value, it.target))
         return false;
     it.name = labels.at("objective");
     it.kind = caller_kind(labels.at("kind"));
@@ -91,8 +93,8 @@
     return true;
 }
 
-bool read_requests(const label_map& labels, std::string_view value,
-                   burn_snapshot& out)
+bool parse_requests(const label_map& labels, std::string_view value,
+                    burn_snapshot& out)
 {
     static const auto windows = [] {
         std::array<std::string_view, window_count> names;
@@ -112,8 +114,9 @@
     const bool complete = labels.contains("objective") &&
                           labels.contains("team") &&
                           labels.contains("window") && labels.contains("cause");
-    if (!complete || !to_enum(windows, labels.at("window"), key.window) ||
-        !to_enum(causes, labels.at("cause"), cause) || !to_number(value, count))
+    if (!complete || !parse_enum(windows, labels.at("window"), key.window) ||
+        !parse_enum(causes, labels.at("cause"), cause) ||
+        !parse_number(value, count))
         return false;
     key.objective = labels.at("objective");
     key.team = labels.at("team");
@@ -123,21 +126,21 @@
 
 } // namespace
 
-std::string to_prometheus(const burn_snapshot& seen)
+std::string to_prometheus(const burn_snapshot& snapshot)
 {
     std::ostringstream out;
-    for (const auto& [name, it] : seen.objectives) {
-        out << objective_name << "objective=\"" << name << "\",kind=\""
+    for (const auto& [name, it] : snapshot.objectives) {
+        out << objective_prefix << "objective=\"" << name << "\",kind=\""
             << it.kind << "\",measure=\""
             << measure_names[std::size_t(it.measure)] << "\",latency_ns=\""
             << it.latency.count() << "\",window_ns=\"" << it.window.count()
             << "\"} " << it.target << '\n';
     }
-    for (const auto& [key, it] : seen.counts) {
+    for (const auto& [key, it] : snapshot.counts) {
         for (std::size_t n = 0; n < cause_count; ++n) {
             if (it.by_cause[n] == 0)
                 continue;
-            out << requests_name << "objective=\"" << key.objective
+            out << requests_prefix << "objective=\"" << key.objective
                 << "\",team=\"" << key.team << "\",window=\""
                 << to_string(key.window) << "\",cause=\""
                 << to_string(burn_cause(n)) << "\"} " << it.by_cause[n] << '\n';
@@ -153,20 +156,21 @@
         const auto end = std::min(page.find('\n'), page.size());
         const auto line = page.substr(0, end);
         page.remove_prefix(std::min(end + 1, page.size()));
-        const bool objective = line.starts_with(objective_name);
-        if (!objective && !line.starts_with(requests_name))
+        const bool objective = line.starts_with(objective_prefix);
+        if (!objective && !line.starts_with(requests_prefix))
             continue;
         std::string_view value;
         const auto labels =
-            take_labels(line.substr(objective ? objective_name.size()
-                                              : requests_name.size()),
-                        value);
-        const bool good =
-            labels && (objective ? read_objective(*labels, value, out)
-                                 : read_requests(*labels, value, out));
-        if (!good)
+            parse_labels(line.substr(objective ? objective_prefix.size()
+                                               : requests_prefix.size()),
+                         value);
+        const bool valid =
+            labels && (objective ? parse_objective(*labels, value, out)
+                                 : parse_requests(*labels, value, out));
+        if (!valid)
             return fail(error_code::corrupt,
-                        "unreadable line: " + std::string(line));
+                        "malformed service-level metric line: " +
+                            std::string(line));
     }
     return out;
 }
