--- a/apps/fennelladder/command_demo.cpp
+++ b/apps/fennelladder/command_demo.cpp
@@ -71,9 +71,10 @@
         return exit_bad_input;
     options.seed = static_cast<std::uint64_t>(wanted.number_of("seed"));
     options.requests = static_cast<int>(wanted.number_of("requests"));
-    telemetry::configure_log({.lowest = wanted.flag_of("verbose")
-                                            ? telemetry::severity::debug
-                                            : telemetry::severity::error});
+    telemetry::configure_log(
+        {.min_severity = wanted.flag_of("verbose")
+                             ? telemetry::severity::debug
+                             : telemetry::severity::error});
     const system_clock time;
     std::vector<trial::trial_result> results;
     for (const auto& plan :
--- a/include/fennelladder/telemetry/log.hpp
+++ b/include/fennelladder/telemetry/log.hpp
@@ -29,7 +29,7 @@
 struct log_options
 {
     bool json = false; ///< JSON objects instead of key=value text.
-    severity lowest = severity::info; ///< Events below it are dropped.
+    severity min_severity = severity::info; ///< Events below it are dropped.
 };
 
 /// A field of a log line. Names are snake_case.
--- a/libs/telemetry/log.cpp
+++ b/libs/telemetry/log.cpp
@@ -77,7 +77,7 @@
 void configure_log(const log_options& options)
 {
     as_json = options.json;
-    min_severity = options.lowest;
+    min_severity = options.min_severity;
     el::Configurations wanted;
     wanted.setToDefault();
     wanted.setGlobally(el::ConfigurationType::ToFile, "false");
