--- a/apps/fennelladder/command_explain.cpp
+++ b/apps/fennelladder/command_explain.cpp
@@ -3,7 +3,7 @@
 #include "command.hpp"
 #include "commands.hpp"
 
-#include "fennelladder/report/request_course.hpp"
+#include "fennelladder/report/request_timeline.hpp"
 #include "fennelladder/settings/settings.hpp"
 
 #include <fstream>
@@ -18,7 +18,7 @@
 
 int explain(const std::string& id, std::span<const std::string> paths)
 {
-    report::request_course course(id);
+    report::request_timeline course(id);
     for (const std::string& path : paths) {
         std::ifstream in(path);
         if (!in) {
--- a/apps/fennelladder/command_report.cpp
+++ b/apps/fennelladder/command_report.cpp
@@ -59,7 +59,7 @@
         return std::nullopt;
     return burn.finish(manifest
                            ? manifest::service_levels_of(manifest->objectives)
-                           : report::objectives_of_kinds(burn.kinds()));
+                           : report::default_objectives(burn.kinds()));
 }
 
 /// The sum over nodes. A node that doesn't answer is told and left out.
--- a/include/fennelladder/report/history_burn.hpp
+++ b/include/fennelladder/report/history_burn.hpp
@@ -28,7 +28,7 @@
 /// Objectives for a history without a manifest: for each kind of caller seen,
 /// 99% whole and once, whatever the latency.
 std::vector<telemetry::service_level_objective>
-objectives_of_kinds(const std::set<caller_kind>& kinds);
+default_objectives(const std::set<caller_kind>& kinds);
 
 /// Gathers what became of each key. Not thread safe.
 class history_burn
--- a/include/fennelladder/report/request_course.hpp
+++ b/include/fennelladder/report/request_timeline.hpp
@@ -1,6 +1,6 @@
 // What became of one request, and why, by the log lines of many nodes.
 //
-//     request_course course("9c41d07be2a35f68");
+//     request_timeline course("9c41d07be2a35f68");
 //     for (const std::string& line : lines)
 //         course.add(line);
 //     std::cout << course.explain();
@@ -13,8 +13,8 @@
 //
 // Not thread safe.
 
-#ifndef FENNELLADDER_REPORT_REQUEST_COURSE_HPP
-#define FENNELLADDER_REPORT_REQUEST_COURSE_HPP
+#ifndef FENNELLADDER_REPORT_REQUEST_TIMELINE_HPP
+#define FENNELLADDER_REPORT_REQUEST_TIMELINE_HPP
 
 #include "fennelladder/base/time.hpp"
 
@@ -45,10 +45,10 @@
 /// No value if there is no line of a log in it.
 std::optional<log_line> parse_log_line(std::string_view text);
 
-class request_course
+class request_timeline
 {
 public:
-    explicit request_course(std::string id) : id_(std::move(id)) {}
+    explicit request_timeline(std::string id) : id_(std::move(id)) {}
 
     /// Takes a line in; false if it isn't one of a log.
     bool add(std::string_view text);
--- a/libs/report/history_burn.cpp
+++ b/libs/report/history_burn.cpp
@@ -26,7 +26,7 @@
 } // namespace
 
 std::vector<service_level_objective>
-objectives_of_kinds(const std::set<caller_kind>& kinds)
+default_objectives(const std::set<caller_kind>& kinds)
 {
     std::vector<service_level_objective> made;
     made.reserve(kinds.size());
--- a/libs/report/request_course.cpp
+++ b/libs/report/request_timeline.cpp
@@ -2,7 +2,7 @@
 // function that words the cause, with what other lines say of the same node,
 // team or target shortly before.
 
-#include "fennelladder/report/request_course.hpp"
+#include "fennelladder/report/request_timeline.hpp"
 
 #include "fennelladder/telemetry/event_catalog.hpp"
 
@@ -287,7 +287,7 @@
     return out;
 }
 
-bool request_course::add(std::string_view text)
+bool request_timeline::add(std::string_view text)
 {
     const auto line = parse_log_line(text);
     if (!line)
@@ -307,14 +307,14 @@
     return true;
 }
 
-std::vector<log_line> request_course::ordered() const
+std::vector<log_line> request_timeline::ordered() const
 {
     std::vector<log_line> out = own_;
     std::ranges::stable_sort(out, {}, &log_line::time);
     return out;
 }
 
-std::string request_course::explain() const
+std::string request_timeline::explain() const
 {
     std::ostringstream out;
     if (own_.empty()) {
--- a/libs/report/request_course_test.cpp
+++ b/libs/report/request_timeline_test.cpp
@@ -1,10 +1,10 @@
-#include "fennelladder/report/request_course.hpp"
+#include "fennelladder/report/request_timeline.hpp"
 
 #include <CppUTest/TestHarness.h>
 
 using namespace fennelladder;
 using fennelladder::report::parse_log_line;
-using fennelladder::report::request_course;
+using fennelladder::report::request_timeline;
 
 namespace {
 
@@ -16,21 +16,21 @@
            R"(,"name":"n","level":"info")" + more + "}";
 }
 
-bool says(const request_course& course, const char* words)
+bool says(const request_timeline& course, const char* words)
 {
     return course.explain().find(words) != std::string::npos;
 }
 
 } // namespace
 
-TEST_GROUP(request_course){};
+TEST_GROUP(request_timeline){};
 
 // Story: a team's tokens run out while the node that takes them out of the
 // record is cut off. On-call has the id of a refused request, and has to find
 // the cut and the last refill from the logs alone.
-TEST(request_course, a_refusal_in_a_cut_names_the_cut_and_the_last_refill)
+TEST(request_timeline, a_refusal_in_a_cut_names_the_cut_and_the_last_refill)
 {
-    request_course course("r1");
+    request_timeline course("r1");
     CHECK(course.add(line("12.089", "a", 1511,
                           R"(,"id":"r1","outcome":"503",)"
                           R"("reason":"short of tokens","team":"t",)"
@@ -46,9 +46,9 @@
 
 // Story: a target dies in the middle of a stream that may not be taken up
 // elsewhere; the caller sees its answer end.
-TEST(request_course, a_cut_stream_names_the_target_that_died)
+TEST(request_timeline, a_cut_stream_names_the_target_that_died)
 {
-    request_course course("r2");
+    request_timeline course("r2");
     course.add(line("05.200", "a", 1512,
                     R"(,"id":"r2","outcome":"cut","reason":"broken",)"
                     R"("target":"i-9","events":"17")"));
@@ -63,9 +63,9 @@
 
 // Story: a connection falls silent after a request that may run once was sent.
 // Nobody here knows whether it ran; the answer said so.
-TEST(request_course, an_unknown_outcome_sends_on_call_to_the_targets_owner)
+TEST(request_timeline, an_unknown_outcome_sends_on_call_to_the_targets_owner)
 {
-    request_course course("r3");
+    request_timeline course("r3");
     course.add(line("05.200", "a", 1512,
                     R"(,"id":"r3","outcome":"unknown","reason":"broken",)"
                     R"("target":"i-9")"));
@@ -73,9 +73,9 @@
     CHECK(!says(course, "it died"));
 }
 
-TEST(request_course, lines_of_all_hosts_come_in_order)
+TEST(request_timeline, lines_of_all_hosts_come_in_order)
 {
-    request_course course("r4");
+    request_timeline course("r4");
     course.add(line("07.000", "a", 1510, R"(,"id":"r4","ms":"12")"));
     course.add(
         line("06.000", "b", 1511,
@@ -84,9 +84,9 @@
     CHECK(text.find("the node leaves") < text.find("Answered, after 12 ms."));
 }
 
-TEST(request_course, says_what_it_does_not_know)
+TEST(request_timeline, says_what_it_does_not_know)
 {
-    request_course course("r5");
+    request_timeline course("r5");
     CHECK(!course.add("no JSON at all"));
     CHECK(!course.add(R"({"event":1510})"));
     CHECK(!course.add(R"({"event":"x","time":"2026-05-17T13:40:01Z"})"));
@@ -96,7 +96,7 @@
     CHECK(says(course, "1 times a node left lines out"));
 }
 
-TEST(request_course, whatever_a_log_printer_puts_before_a_line_is_skipped)
+TEST(request_timeline, whatever_a_log_printer_puts_before_a_line_is_skipped)
 {
     const auto got =
         parse_log_line("  12.1 host-a " + line("12.089", "a", 1510, ""));
@@ -105,16 +105,16 @@
 
 // Story: a caller got no answer, and on-call asks whether it left by itself or
 // was cut. The node had stood still, and the network reset the connection.
-TEST(request_course, a_caller_that_left_is_told_from_a_connection_that_broke)
+TEST(request_timeline, a_caller_that_left_is_told_from_a_connection_that_broke)
 {
-    request_course closed("r1");
+    request_timeline closed("r1");
     closed.add(line("01.000", "a", 1513,
                     R"(,"id":"r1","ms":"52","reason":"answer's head",)"
                     R"("caller_end":"closed","lag_ms":"0")"));
     CHECK(says(closed, "left after 52 ms"));
     CHECK(!says(closed, "connection ended by"));
     CHECK(!says(closed, "stood still"));
-    request_course broken("r2");
+    request_timeline broken("r2");
     broken.add(line("01.000", "a", 1513,
                     R"(,"id":"r2","ms":"3","reason":"answer's head",)"
                     R"("caller_end":"reset","lag_ms":"48")"));
@@ -125,14 +125,14 @@
 // Story: a caller's connection ended just after its request was sent on. The
 // target's answer still came and was written, so the last line says answered;
 // the caller got nothing.
-TEST(request_course, an_answer_after_its_callers_end_may_not_have_arrived)
+TEST(request_timeline, an_answer_after_its_callers_end_may_not_have_arrived)
 {
-    request_course course("r1");
+    request_timeline course("r1");
     course.add(line("01.000", "a", 1510,
                     R"(,"id":"r1","ms":"16","caller_end":"closed")"));
     CHECK(says(course, "Answered, after 16 ms"));
     CHECK(says(course, "may not have taken the answer"));
-    request_course plain("r2");
+    request_timeline plain("r2");
     plain.add(
         line("01.000", "a", 1510, R"(,"id":"r2","ms":"16","caller_end":"")"));
     CHECK(!says(plain, "may not have taken"));
