--- a/include/fennelladder/base/address.hpp
+++ b/include/fennelladder/base/address.hpp
@@ -1,7 +1,7 @@
-// Addresses as text, before anything connects to them.
+// Validates textual addresses before they are used to connect.
 //
 //     if (!is_ip_and_port(entry.address))
-//         ... it names nothing that could be reached ...
+//         ... no connection to it is possible ...
 //
 // Thread safe.
 
@@ -12,8 +12,8 @@
 
 namespace fennelladder {
 
-/// Whether `text` is the number of an IPv4 or IPv6 host, a colon, and a port
-/// other than 0. Names of hosts aren't looked up, so they are none.
+/// Whether `text` is a numeric IPv4 or IPv6 address, a colon, and a port other
+/// than 0. Host names are not resolved, so they are not accepted.
 bool is_ip_and_port(std::string_view text);
 
 } // namespace fennelladder
--- a/include/fennelladder/base/decaying_rate.hpp
+++ b/include/fennelladder/base/decaying_rate.hpp
@@ -1,14 +1,14 @@
-// How much of something passes a second, lately.
+// Exponentially weighted estimate of a rate per second.
 //
 //     decaying_rate spending(seconds(4));
 //     spending.add(1'200, now);
 //     double a_second = spending.at(now);
 //
-// What passed counts for less the longer it is ago, and is divided by the part
-// of that fading past that was seen at all: without that, what has just begun
-// would seem to pass at a fraction of its rate.
+// Older amounts weigh less. The weighted sum is divided by the weight of the
+// time observed since the first amount, not by that of an infinite past, which
+// would underestimate the rate shortly after the start.
 //
-// Cost: three words. Not thread safe.
+// Size: five words. Not thread safe.
 
 #ifndef FENNELLADDER_BASE_DECAYING_RATE_HPP
 #define FENNELLADDER_BASE_DECAYING_RATE_HPP
@@ -22,22 +22,24 @@
 class decaying_rate
 {
 public:
-    /// In a time of `memory` without anything the rate falls to 1/e.
-    explicit decaying_rate(duration memory) : memory_(memory) {}
+    /// After `time_constant` without amounts the rate has fallen to 1/e.
+    explicit decaying_rate(duration time_constant)
+        : time_constant_(time_constant)
+    {}
 
-    /// Notes what passed, or, if negative, what didn't pass after all.
+    /// Adds an amount; a negative one takes back an amount added before.
     void add(double amount, instant now);
 
-    /// A second, never negative; 0 until something was added.
+    /// The rate per second: never negative, and 0 before the first add().
     double at(instant now) const;
 
 private:
-    double decayed(instant now) const;
+    double decayed_sum(instant now) const;
 
-    duration memory_;
-    double sum_ = 0; ///< As of `changed_`.
-    instant changed_;
-    std::optional<instant> first_;
+    duration time_constant_;
+    double sum_ = 0; ///< Weighted sum as of `updated_at_`.
+    instant updated_at_;
+    std::optional<instant> first_added_at_;
 };
 
 } // namespace fennelladder
--- a/include/fennelladder/base/findings.hpp
+++ b/include/fennelladder/base/findings.hpp
@@ -1,7 +1,7 @@
-// Findings of a check: what is wrong with an input and where, all together.
+// Validation errors of an input, with their locations.
 //
-// A check goes on after the first fault and collects the rest, so that a
-// person mends a file in one round.
+// A check continues after the first error and collects all of them, so that a
+// file can be corrected in one pass.
 //
 //     findings found;
 //     if (budget < 0)
@@ -17,15 +17,15 @@
 
 namespace fennelladder {
 
-/// Where a finding is: a file, flag or variable, and a place inside it (a
-/// JSON pointer, or "line 7"); the place may be empty.
+/// Location of a finding: a file, flag or variable, and a position inside it (a
+/// JSON pointer, or "line 7"); the position may be empty.
 struct source_place
 {
     std::string source;
     std::string inside;
 };
 
-/// One fault of an input.
+/// One error in an input.
 struct finding
 {
     source_place place;
@@ -33,14 +33,14 @@
     std::string message;
 };
 
-/// Faults in the order found. Not thread safe.
+/// Findings in the order of their detection. Not thread safe.
 class findings
 {
 public:
-    /// Adds a fault.
+    /// Adds a finding.
     void add(source_place place, int event, std::string message);
 
-    /// Adds all faults of another check.
+    /// Adds all findings of another check.
     void add_all(const findings& other);
 
     bool empty() const { return all_.empty(); }
--- a/include/fennelladder/base/ids.hpp
+++ b/include/fennelladder/base/ids.hpp
@@ -1,7 +1,8 @@
 // Strong types for names and numbers that identify things.
 //
 // Each kind of id is a type of its own, so that a team can't be passed where
-// a budget is meant. Ids compare, hash and print; they convert to nothing.
+// a budget is expected. Ids can be compared, hashed and printed; they have no
+// implicit conversions.
 //
 //     team_id team("spoke-and-sprocket");
 //     std::unordered_map<budget_id, tokens> left;
@@ -19,7 +20,7 @@
 
 namespace fennelladder {
 
-/// An id spelled as text. `Tag` only tells kinds apart.
+/// An id whose value is text. `Tag` only makes the types distinct.
 template <class Tag>
 class text_id
 {
@@ -43,7 +44,8 @@
     std::string text_;
 };
 
-/// An id or counter that is a number. `Tag` only tells kinds apart.
+/// An id or counter whose value is a number. `Tag` only makes the types
+/// distinct.
 template <class Tag>
 class number_id
 {
@@ -84,24 +86,26 @@
 using topup_id = text_id<struct topup_tag>;
 using apply_id = text_id<struct apply_tag>;
 
-/// What the caller (or, without an Idempotency-Key, the node) names a request
-/// by; unique within its team. All retries of one request carry the same key.
+/// Identifies a request within its team. Chosen by the caller, or by the node
+/// if there is no Idempotency-Key; all retries of a request carry the same key.
 using request_key = text_id<struct request_key_tag>;
 
-/// One arrival of a request at a node; retries under one key differ in it.
+/// Identifies one arrival of a request at a node; retries with the same key
+/// have different request ids.
 using request_id = text_id<struct request_id_tag>;
 
-/// One life of a node process: the host's name, then a number that no later
-/// life of the same host draws again, such as "austin-1.18c2f0a97b3d1e44".
+/// One incarnation of a node process, its run from start to end: the host's
+/// name, then a number that no later incarnation on that host reuses, such as
+/// "austin-1.18c2f0a97b3d1e44".
 using incarnation_id = text_id<struct incarnation_tag>;
 
-/// Number of an accepted configuration; grows by one with each.
+/// Number of an accepted configuration; each accepted one increments it.
 using generation = number_id<struct generation_tag>;
 
-/// Number of a version of one object of the object API.
+/// Version number of one object of the object API.
 using object_version = number_id<struct object_version_tag>;
 
-/// Part of the keyspace that one journal serves.
+/// Partition of the keyspace that is served by one journal.
 using shard_id = number_id<struct shard_tag>;
 
 /// Fencing number of an order to a target.
--- a/include/fennelladder/base/part_of.hpp
+++ b/include/fennelladder/base/part_of.hpp
@@ -1,4 +1,4 @@
-// A share of a length of time.
+// Scales a duration by a factor.
 //
 //     const duration limit = part_of(bound, 0.75);
 
@@ -9,7 +9,7 @@
 
 namespace fennelladder {
 
-/// `share` of `whole`, which may be more than all of it; rounds towards zero.
+/// `whole` times `share`, rounded towards zero; `share` may exceed 1.
 /// Pure; thread safe.
 constexpr duration part_of(duration whole, double share)
 {
--- a/include/fennelladder/base/random.hpp
+++ b/include/fennelladder/base/random.hpp
@@ -1,7 +1,7 @@
-// Random numbers from a seed.
+// Seeded pseudorandom numbers, jitter and backoff.
 //
-// Deciding functions take a random_source& as an argument, so that a test or
-// a bench run with the same seed decides the same.
+// Functions that make random decisions take a random_source& as an argument,
+// so that test and bench runs with the same seed make the same decisions.
 //
 //     random_source random(seed);
 //     duration wait = jitter(random, milliseconds(50));
@@ -22,7 +22,7 @@
 public:
     explicit random_source(std::uint64_t seed) : engine_(seed) {}
 
-    /// Any 64 bits.
+    /// Uniform over all 64-bit values.
     std::uint64_t bits() { return engine_(); }
 
     /// Uniform in [0, limit). Precondition: limit > 0.
@@ -31,25 +31,26 @@
     /// Uniform in [0, 1).
     double unit();
 
-    /// True with the given probability.
+    /// True with the given probability, from 0 to 1.
     bool chance(double probability) { return unit() < probability; }
 
-    /// Exponential with the given mean.
+    /// Exponentially distributed with the given mean.
     double exponential(double mean);
 
-    /// A generator whose draws don't depend on how much this one is used
-    /// afterwards.
+    /// A new generator, seeded from this one; its values don't depend on how
+    /// many this one generates afterwards.
     random_source fork() { return random_source(bits()); }
 
 private:
     std::mt19937_64 engine_;
 };
 
-/// Uniform in [base / 2, base * 3 / 2): spreads what would come in step.
+/// Uniform in [base / 2, base * 3 / 2): spreads work that would otherwise
+/// happen at the same time.
 duration jitter(random_source& random, duration base);
 
-/// Wait before try number `attempt` (0 is the first retry): doubles from
-/// `first` up to `limit`, with full jitter.
+/// Delay before retry number `attempt` (0 is the first retry): exponential
+/// backoff from `first` up to `limit`, with full jitter.
 duration backoff(random_source& random, int attempt, duration first,
                  duration limit);
 
--- a/include/fennelladder/base/text.hpp
+++ b/include/fennelladder/base/text.hpp
@@ -1,4 +1,4 @@
-// Small helpers for text that people and settings files write.
+// Helpers for parsing text that people write, for instance in settings files.
 //
 // Thread safe.
 
@@ -11,7 +11,7 @@
 
 namespace fennelladder {
 
-/// The parts between commas; empty ones are left out.
+/// Splits `text` at commas; empty parts are left out.
 std::vector<std::string> split_list(std::string_view text);
 
 } // namespace fennelladder
--- a/include/fennelladder/base/thrift_codec.hpp
+++ b/include/fennelladder/base/thrift_codec.hpp
@@ -1,9 +1,11 @@
-// Thrift structures to and from bytes by the compact protocol.
+// Encodes Thrift structures to bytes and decodes them, with the compact
+// protocol.
 //
 //     std::string bytes = to_bytes(message);
 //     result<wire::message> back = from_bytes<wire::message>(bytes);
 //
-// Included by sources that hold generated code, never by public headers.
+// For sources that include generated code; public headers must not include
+// this file.
 
 #ifndef FENNELLADDER_BASE_THRIFT_CODEC_HPP
 #define FENNELLADDER_BASE_THRIFT_CODEC_HPP
@@ -20,7 +22,7 @@
 
 namespace fennelladder {
 
-/// The structure's bytes. Thread safe.
+/// Encodes `value`. Thread safe.
 template <class Struct>
 std::string to_bytes(const Struct& value)
 {
@@ -31,23 +33,25 @@
     return buf->getBufferAsString();
 }
 
-/// Reads `value`. Fails with `corrupt` on bytes that are no such structure, or
-/// hold a list of more than `most_elements`: memory for all is taken before the
-/// first is read, and an empty structure of a hundred bytes takes one byte on
-/// the wire. Thread safe.
+/// Decodes `bytes` into `value`. Fails with `corrupt` if the bytes are not such
+/// a structure, or have a list of more than `max_elements`: Thrift allocates
+/// memory for all elements before it reads the first, and an empty structure
+/// that takes a hundred bytes in memory takes one byte on the wire. Thread
+/// safe.
 template <class Struct>
 status from_bytes(std::string_view bytes, Struct& value,
-                  std::int32_t most_elements = INT32_MAX)
+                  std::int32_t max_elements = INT32_MAX)
 {
     using namespace apache::thrift;
     std::string copy(bytes);
     auto* data = reinterpret_cast<std::uint8_t*>(copy.data());
     auto buf = std::make_shared<transport::TMemoryBuffer>(
         data, static_cast<std::uint32_t>(copy.size()));
-    // A garbled length must not make us allocate more than there can be.
+    // A corrupt length must not cause an allocation for more elements than the
+    // bytes can hold.
     const auto limit = static_cast<std::int32_t>(copy.size());
     protocol::TCompactProtocolT<transport::TMemoryBuffer> in(
-        buf, limit, std::min(limit, most_elements));
+        buf, limit, std::min(limit, max_elements));
     try {
         value.read(&in);
     } catch (const std::exception& failure) {
@@ -56,13 +60,13 @@
     return {};
 }
 
-/// The same, as a value.
+/// Decodes `bytes` and returns the structure; fails as above.
 template <class Struct>
 result<Struct> from_bytes(std::string_view bytes,
-                          std::int32_t most_elements = INT32_MAX)
+                          std::int32_t max_elements = INT32_MAX)
 {
     Struct value;
-    if (auto ok = from_bytes(bytes, value, most_elements); !ok)
+    if (auto ok = from_bytes(bytes, value, max_elements); !ok)
         return tl::unexpected(ok.error());
     return value;
 }
--- a/include/fennelladder/base/time.hpp
+++ b/include/fennelladder/base/time.hpp
@@ -1,9 +1,9 @@
 // Points in time and the clock interface.
 //
-// Deciding functions take the present time as an argument of type `instant`;
-// only the shells around them own a `clock`. An instant counts nanoseconds
-// from an epoch that all clocks of one run share, so that it serves virtual
-// time in tests and wall time in a node alike.
+// Functions that make decisions take the current time as an argument of type
+// `instant`; only the code that drives them has a `clock`. An instant counts
+// nanoseconds from an epoch that all clocks of one run share, so that it can
+// hold virtual time in tests as well as wall time in a node.
 //
 //     instant now = clock.now();
 //     bool late = now > deadline;
@@ -26,7 +26,8 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// The time line of a run; not tied to any clock of the machine.
+/// Clock type of the time points of one run; not tied to a clock of the
+/// machine.
 struct timeline
 {
     using duration = std::chrono::nanoseconds;
@@ -63,10 +64,10 @@
         std::chrono::duration<double>(count));
 }
 
-/// Whole milliseconds, as log lines carry them.
+/// Whole milliseconds as decimal text, the format used in log lines.
 std::string milliseconds_text(duration length);
 
-/// Source of the present time. Implementations are thread safe.
+/// Source of the current time. Implementations are thread safe.
 class clock
 {
 public:
@@ -74,9 +75,10 @@
     virtual instant now() const = 0;
 };
 
-/// Wall time at start, advanced by the machine's time since boot: it never
-/// jumps with the time of day, and counts the time that the machine was
-/// suspended, so that what was known before is as old as it is. Thread safe.
+/// Wall time at construction, advanced by the machine's time since boot. It
+/// doesn't jump when the time of day is set. It includes the time that the
+/// machine was suspended, so that data from before has its real age. Thread
+/// safe.
 class system_clock final : public clock
 {
 public:
@@ -84,11 +86,11 @@
     instant now() const override;
 
 private:
-    duration started_;
-    duration offset_;
+    duration boot_time_at_start_;
+    duration wall_time_at_start_;
 };
 
-/// A clock that tests set. Thread safe.
+/// A clock that is set explicitly, for tests. Thread safe.
 class manual_clock final : public clock
 {
 public:
--- a/include/fennelladder/base/tokens.hpp
+++ b/include/fennelladder/base/tokens.hpp
@@ -1,9 +1,9 @@
 // A count of tokens, the unit in which budgets are prepaid and spent.
 //
-// Signed, so that differences can be written down; an amount that must not be
-// negative says so where it is stored.
+// Signed, so that it can hold differences. Where an amount must not be
+// negative, its declaration says so.
 //
-//     tokens worst = tokens(prompt) + tokens(max_output);
+//     tokens upper_bound = tokens(prompt) + tokens(max_output);
 
 #ifndef FENNELLADDER_BASE_TOKENS_HPP
 #define FENNELLADDER_BASE_TOKENS_HPP
--- a/libs/base/address.cpp
+++ b/libs/base/address.cpp
@@ -20,7 +20,7 @@
 
 bool is_ip(const std::string& text)
 {
-    // inet_pton() stops at a zero byte and would pass over the rest.
+    // inet_pton() stops at a NUL byte and would ignore the rest.
     if (text.find('\0') != std::string::npos)
         return false;
     std::array<unsigned char, sizeof(in6_addr)> buf{};
--- a/libs/base/base_test.cpp
+++ b/libs/base/base_test.cpp
@@ -11,7 +11,7 @@
 
 TEST_GROUP(base){};
 
-TEST(base, random_draws_depend_on_the_seed_alone)
+TEST(base, random_values_depend_only_on_the_seed)
 {
     random_source a(7);
     random_source b(7);
@@ -19,7 +19,7 @@
         CHECK(a.below(97) == b.below(97));
 }
 
-TEST(base, below_reaches_every_value_and_no_other)
+TEST(base, below_returns_every_value_under_the_limit_and_no_other)
 {
     random_source random(3);
     bool seen[5] = {};
@@ -43,15 +43,16 @@
     }
 }
 
-TEST(base, hashes_are_the_stored_ones)
+TEST(base, hashes_match_stored_data)
 {
-    // Written down once: a stored object names its parts by these.
+    // Stored objects refer to their parts by these hashes, so the algorithm
+    // must not change.
     STRCMP_EQUAL("99aa06d3014798d86001c324468d497f", digest128("").c_str());
     STRCMP_EQUAL("00000000000000ff", to_hex(255).c_str());
     CHECK(hash64("a") != hash64("b"));
 }
 
-TEST(base, findings_name_their_place)
+TEST(base, findings_print_their_location)
 {
     findings found;
     found.add({"m.json", "/teams/0"}, 102, "no name");
--- a/libs/base/boost_assertion.cpp
+++ b/libs/base/boost_assertion.cpp
@@ -1,12 +1,12 @@
-// What follows a failed assertion inside Boost. The whole build defines
+// Handlers for failed Boost assertions. The whole build defines
 // BOOST_ENABLE_ASSERT_HANDLER, so that Boost calls these functions.
 //
-// Failure they guard against: Beast 1.74's parser of HTTP asserts lengths of
-// what came from outside, and one that it doesn't need; a caller or target
-// could end the process by a proper message, and cut every request under way.
-// The parser is made to run without its assertions: it checks what it reads
-// against the end of what was read, and answers an error. All other
-// assertions of Boost are about its use by this code, and hold.
+// The HTTP parser of Beast 1.74 asserts on lengths of input from the network,
+// and makes an assertion that it doesn't need, so a caller or target could
+// abort the process with a valid message and cut off every request in
+// progress. Failed assertions of the parser are therefore ignored: it also
+// checks its reads against the end of the input, and returns an error. All
+// other Boost assertions concern how this project uses Boost; they abort.
 
 #include <cstdio>
 #include <cstdlib>
@@ -14,8 +14,9 @@
 
 namespace boost {
 
-// Declared here: a library of the project needs no Boost for them, and they
-// have to be defined by whoever sets the flag.
+// Boost leaves the definition of these functions to the program that defines
+// the macro. They are declared here so that this library doesn't depend on
+// Boost.
 void assertion_failed(char const* expr, char const* function, char const* file,
                       long line);
 void assertion_failed_msg(char const* expr, char const* msg,
@@ -23,7 +24,8 @@
 
 namespace {
 
-/// The parser's two files, which read bytes from outside.
+/// Whether `file` is one of the parser's two files, which read bytes from the
+/// network.
 bool is_in_http_parser(std::string_view file)
 {
     return file.ends_with("boost/beast/http/impl/basic_parser.ipp") ||
--- a/libs/base/random.cpp
+++ b/libs/base/random.cpp
@@ -1,6 +1,6 @@
-// The engine is the standard library's Mersenne twister, whose output is
-// fixed by the standard. Its distributions are not, so the few that are
-// needed are written out here; a seed then means the same everywhere.
+// The C++ standard fixes the output of std::mt19937_64, but not that of its
+// distributions. The few distributions needed are therefore implemented here,
+// so that a seed gives the same values with every standard library.
 
 #include "fennelladder/base/random.hpp"
 
@@ -12,22 +12,22 @@
 
 namespace {
 
-__extension__ using wide = unsigned __int128;
+__extension__ using uint128 = unsigned __int128;
 
-constexpr int largest_doubling = 20;
+constexpr int max_doublings = 20;
 
 } // namespace
 
 std::uint64_t random_source::below(std::uint64_t limit)
 {
     assert(limit > 0);
-    const auto product = static_cast<wide>(bits()) * limit;
+    const auto product = static_cast<uint128>(bits()) * limit;
     return static_cast<std::uint64_t>(product >> 64U);
 }
 
 double random_source::unit()
 {
-    constexpr double scale = 1.0 / 9007199254740992.0; // 2 to the 53rd
+    constexpr double scale = 1.0 / 9007199254740992.0; // 2^53
     return static_cast<double>(bits() >> 11U) * scale;
 }
 
@@ -44,9 +44,11 @@
 duration backoff(random_source& random, int attempt, duration first,
                  duration limit)
 {
-    const int doublings = std::clamp(attempt, 0, largest_doubling);
-    const double grown = to_seconds(first) * std::ldexp(1.0, doublings);
-    return from_seconds(random.unit() * std::min(grown, to_seconds(limit)));
+    const int doublings = std::clamp(attempt, 0, max_doublings);
+    const double unjittered_seconds =
+        to_seconds(first) * std::ldexp(1.0, doublings);
+    return from_seconds(random.unit() *
+                        std::min(unjittered_seconds, to_seconds(limit)));
 }
 
 } // namespace fennelladder
--- a/libs/base/text_test.cpp
+++ b/libs/base/text_test.cpp
@@ -6,7 +6,7 @@
 
 TEST_GROUP(text){};
 
-TEST(text, a_list_is_split_at_commas_and_empty_parts_are_left_out)
+TEST(text, split_list_splits_at_commas_and_omits_empty_parts)
 {
     struct
     {
--- a/libs/base/time.cpp
+++ b/libs/base/time.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-/// Time since the host started, with the time that it was suspended.
+/// Time since the machine booted, including the time that it was suspended.
 duration since_boot()
 {
     timespec it{};
-    // Fails only for a clock that the kernel doesn't have.
+    // Fails only if the kernel doesn't support this clock.
     (void)::clock_gettime(CLOCK_BOOTTIME, &it);
     return std::chrono::seconds(it.tv_sec) +
            std::chrono::nanoseconds(it.tv_nsec);
@@ -25,13 +25,13 @@
 } // namespace
 
 system_clock::system_clock()
-    : started_(since_boot()),
-      offset_(std::chrono::system_clock::now().time_since_epoch())
+    : boot_time_at_start_(since_boot()),
+      wall_time_at_start_(std::chrono::system_clock::now().time_since_epoch())
 {}
 
 instant system_clock::now() const
 {
-    return instant(offset_ + (since_boot() - started_));
+    return instant(wall_time_at_start_ + (since_boot() - boot_time_at_start_));
 }
 
 } // namespace fennelladder
