--- a/include/fennelladder/report/history_burn.hpp
+++ b/include/fennelladder/report/history_burn.hpp
@@ -1,15 +1,18 @@
-// Service-level burn from a recorded history (docs/HISTORY.md).
+// Error-budget burn of service levels, computed from a recorded history
+// (docs/HISTORY.md).
 //
 //     history_burn burn;
 //     while (std::getline(in, line))
 //         burn.add(*history::parse_event(line));
-//     telemetry::burn_snapshot seen =
+//     telemetry::burn_snapshot snapshot =
 //         burn.finish(service_levels_of(manifest.objectives));
 //
-// A caller's retries under one key count as one request, from the first try to
-// the first whole answer, since that is what the caller went through.
+// A caller's attempts with the same key count as one request, from the first
+// attempt to the first complete answer, since that is what the caller
+// experienced.
 //
-// Caveat: memory grows with the keys of the history; it is for files.
+// Memory grows with the number of keys in the history, so this is meant for
+// files, not for endless streams.
 
 #ifndef FENNELLADDER_REPORT_HISTORY_BURN_HPP
 #define FENNELLADDER_REPORT_HISTORY_BURN_HPP
@@ -25,23 +28,24 @@
 
 namespace fennelladder::report {
 
-/// Objectives for a history without a manifest: for each kind of caller seen,
-/// 99% whole and once, whatever the latency.
+/// Objectives for a history without a manifest: for each of the given kinds of
+/// caller, 99% of requests answered completely and not executed or billed
+/// twice, at any latency.
 std::vector<telemetry::service_level_objective>
 default_objectives(const std::set<caller_kind>& kinds);
 
-/// Gathers what became of each key. Not thread safe.
+/// Collects the outcome of each key. Not thread safe.
 class history_burn
 {
 public:
-    /// Takes in one event. Events may come in any order.
+    /// Adds an event; events may be added in any order.
     void add(const history::event& it);
 
-    /// Kinds of caller seen so far.
+    /// Kinds of caller in the events added so far.
     const std::set<caller_kind>& kinds() const { return kinds_; }
 
-    /// The counts at the time of the last event. Keys without an outcome are
-    /// `missing`.
+    /// Counts as of the time of the last event. Keys without an outcome count
+    /// as `missing`.
     telemetry::burn_snapshot
     finish(std::vector<telemetry::service_level_objective> objectives) const;
 
@@ -56,8 +60,8 @@
         std::set<std::pair<target_id, std::uint64_t>> executions;
     };
 
-    // One try of a key: its pieces, until it is answered.
-    struct request_state
+    // One attempt of a key: its chunks, and its outcome once there is one.
+    struct attempt_state
     {
         request_key key;
         std::vector<instant> chunks;
@@ -70,12 +74,12 @@
 
     telemetry::request_sample
     sample_of(const key_state& key,
-              const std::vector<const request_state*>& tries) const;
+              const std::vector<const attempt_state*>& attempts) const;
 
     std::set<caller_kind> kinds_;
     std::unordered_map<request_key, key_state> keys_;
-    std::unordered_map<request_id, request_state> requests_;
-    instant last_;
+    std::unordered_map<request_id, attempt_state> attempts_;
+    instant last_event_at_;
 };
 
 } // namespace fennelladder::report
--- a/include/fennelladder/report/request_timeline.hpp
+++ b/include/fennelladder/report/request_timeline.hpp
@@ -1,15 +1,15 @@
-// What became of one request, and why, by the log lines of many nodes.
+// Explains the outcome of one request from the log lines of many nodes.
 //
-//     request_timeline course("9c41d07be2a35f68");
+//     request_timeline timeline("9c41d07be2a35f68");
 //     for (const std::string& line : lines)
-//         course.add(line);
-//     std::cout << course.explain();
+//         timeline.add(line);
+//     std::cout << timeline.explain();
 //
-// Takes the lines of `fennelladder front` (docs/EVENTS.md) in any order, with
-// whatever stands before their JSON, and orders them by the time that each
-// node wrote; the clocks of hosts may differ, so neighbours of different hosts
-// may be swapped. Of other requests nothing is kept, and of each kind of event
-// that may have been the cause the latest few thousand.
+// Accepts the log lines of `fennelladder front` (docs/EVENTS.md) in any order,
+// with any prefix before their JSON, and sorts them by the timestamps that the
+// nodes wrote. The clocks of hosts may differ, so adjacent lines of different
+// hosts may be out of order. Lines of other requests are discarded; of each
+// kind of event that may be the cause, the last few thousand lines are kept.
 //
 // Not thread safe.
 
@@ -28,43 +28,46 @@
 
 namespace fennelladder::report {
 
-/// One line of a log, decoded.
+/// One decoded log line.
 struct log_line
 {
-    std::string time; ///< As written; sorts as text.
+    std::string time; ///< As written; its text sorts by time.
     instant at;
     std::string host;
     int event = 0;
     std::string name;
     std::map<std::string, std::string> fields;
 
-    /// Empty if there is no such field.
+    /// The value of `field`, or empty if there is no such field.
     std::string_view get(const std::string& field) const;
 };
 
-/// No value if there is no line of a log in it.
+/// Decodes a log line, with any prefix before its JSON; no value if `text`
+/// contains none.
 std::optional<log_line> parse_log_line(std::string_view text);
 
+/// The log lines of one request, and those that may explain its outcome.
 class request_timeline
 {
 public:
     explicit request_timeline(std::string id) : id_(std::move(id)) {}
 
-    /// Takes a line in; false if it isn't one of a log.
+    /// Adds a line; false if it isn't a log line.
     bool add(std::string_view text);
 
-    /// Whether any line tells of the request.
-    bool found() const { return !own_.empty(); }
+    /// Whether any line belongs to the request.
+    bool found() const { return !request_lines_.empty(); }
 
-    /// The request's lines in order, and the cause in a sentence or two.
+    /// The request's lines in order of time, and the cause of its outcome in a
+    /// few sentences; says so if no line belongs to the request.
     std::string explain() const;
 
 private:
-    std::vector<log_line> ordered() const;
+    std::vector<log_line> sorted_lines() const;
 
     std::string id_;
-    std::vector<log_line> own_;
-    std::map<int, std::deque<log_line>> around_; ///< By event.
+    std::vector<log_line> request_lines_;
+    std::map<int, std::deque<log_line>> context_; ///< By event number.
 };
 
 } // namespace fennelladder::report
--- a/libs/report/history_burn_test.cpp
+++ b/libs/report/history_burn_test.cpp
@@ -44,12 +44,13 @@
 
 TEST_GROUP(history_burn){};
 
-// Each row is what one caller went through; what burns must be what hurt it.
-TEST(history_burn, each_story_counts_once_under_its_cause)
+// Each case lists the events of one request; it must count exactly once, under
+// the cause that affected the caller.
+TEST(history_burn, each_request_counts_once_under_its_cause)
 {
     const struct
     {
-        const char* story;
+        const char* scenario;
         std::vector<event> events;
         burn_cause cause;
     } cases[] = {
@@ -59,28 +60,30 @@
         {"answered late",
          {sent_at(0, "r", "k"), chunk_at(400, "r"), answered_at(500, "r")},
          burn_cause::slow},
-        {"the retry was quick, but the caller had waited since the first try",
+        {"the retry was fast, but latency counts from the first attempt",
          {sent_at(0, "r", "k"), at(350, unknown{request_id("r")}),
           sent_at(360, "s", "k"), chunk_at(380, "s"), answered_at(400, "s")},
          burn_cause::slow},
-        {"told not run, then answered on another node",
+        {"not run at one node, then answered at another",
          {sent_at(0, "r", "k"), at(10, not_run{request_id("r")}),
           sent_at(20, "s", "k"), chunk_at(90, "s"), answered_at(99, "s")},
          burn_cause::good},
-        {"budget short",
+        {"refused for lack of budget",
          {sent_at(0, "r", "k"),
           at(10, refused{request_id("r"), budget_id("b")})},
          burn_cause::refused},
-        {"never heard of again", {sent_at(0, "r", "k")}, burn_cause::missing},
+        {"sent, then no further event",
+         {sent_at(0, "r", "k")},
+         burn_cause::missing},
         {"unknown, then refused: it may have run",
          {sent_at(0, "r", "k"), at(5, unknown{request_id("r")}),
           sent_at(9, "s", "k"), at(10, not_run{request_id("s")})},
          burn_cause::missing},
-        {"a clearance ran twice",
+        {"a non-idempotent request executed twice",
          {sent_at(0, "r", "k"), executed_at(1, "k", "a"),
           executed_at(2, "k", "b"), chunk_at(10, "r"), answered_at(20, "r")},
          burn_cause::doubled},
-        {"a look-up may run twice",
+        {"an idempotent request may execute twice",
          {sent_at(0, "r", "k", true), executed_at(1, "k", "a"),
           executed_at(2, "k", "b"), chunk_at(10, "r"), answered_at(20, "r")},
          burn_cause::good},
@@ -108,8 +111,8 @@
                 burn.add(one);
             const auto counts =
                 burn.finish({objective}).of("o", "", burn_window::minutes_5);
-            CHECK_EQUAL_TEXT(1, int(counts.total()), it.story);
-            CHECK_EQUAL_TEXT(1, int(counts.of(it.cause)), it.story);
+            CHECK_EQUAL_TEXT(1, int(counts.total()), it.scenario);
+            CHECK_EQUAL_TEXT(1, int(counts.of(it.cause)), it.scenario);
         }
     }
 }
--- a/libs/report/request_timeline.cpp
+++ b/libs/report/request_timeline.cpp
@@ -1,6 +1,6 @@
-// The last line of a request says how it ended; a table maps that to the
-// function that words the cause, with what other lines say of the same node,
-// team or target shortly before.
+// The last line of a request with an outcome decides how it ended. A table maps
+// that line to the function that explains the cause, using other lines about
+// the same node, team or target from about the same time.
 
 #include "fennelladder/report/request_timeline.hpp"
 
@@ -18,37 +18,39 @@
 
 namespace event = telemetry::event;
 
-/// Lines of one event that are kept: some minutes of a fleet's.
-constexpr std::size_t most_around = 5'000;
+/// Lines kept for each event number: some minutes of a fleet's logs.
+constexpr std::size_t max_lines_per_event = 5'000;
 
-/// What happened longer before the end isn't called its cause: longer than any
-/// request lasts and any stock of tokens reaches.
-constexpr duration cause_span = seconds(30);
+/// Events further than this from the end of the request aren't reported as its
+/// cause. Longer than any request lasts and than any stock of tokens covers.
+constexpr duration max_cause_distance = seconds(30);
 
-constexpr std::array around_events{
+constexpr std::array context_events{
     event::node_started, event::platform_out,    event::platform_well,
     event::target_died,  event::tokens_allotted, event::log_lines_dropped};
 
-using around_map = std::map<int, std::deque<log_line>>;
+using context_map = std::map<int, std::deque<log_line>>;
 
-/// The latest line of `number` before `end`, not too long ago, that fits.
-template <class Fits>
-const log_line* latest(const around_map& around, int number,
-                       const log_line& end, Fits fits)
+/// The latest line with event `number` that matches, at most
+/// `max_cause_distance` before `end`; null if there is none.
+template <class Predicate>
+const log_line* latest(const context_map& context, int number,
+                       const log_line& end, Predicate matches)
 {
-    const auto found = around.find(number);
-    if (found == around.end())
+    const auto found = context.find(number);
+    if (found == context.end())
         return nullptr;
     const log_line* out = nullptr;
     for (const log_line& it : found->second) {
-        const bool near = it.at <= end.at && end.at - it.at <= cause_span;
-        if (near && fits(it) && (out == nullptr || it.at >= out->at))
+        const bool recent =
+            it.at <= end.at && end.at - it.at <= max_cause_distance;
+        if (recent && matches(it) && (out == nullptr || it.at >= out->at))
             out = &it;
     }
     return out;
 }
 
-std::string ago(const log_line& it, const log_line& end)
+std::string time_before(const log_line& it, const log_line& end)
 {
     std::ostringstream out;
     out << std::fixed << std::setprecision(1) << to_seconds(end.at - it.at)
@@ -61,55 +63,56 @@
     return "'" + std::string(text) + "'";
 }
 
-struct ending
+struct request_ending
 {
     const log_line& last;
-    const log_line* attempt; ///< The last one; null if nothing was sent.
-    const around_map& around;
+    const log_line* attempt; ///< The last attempt; null if nothing was sent.
+    const context_map& context;
 };
 
-std::string platform_of(const ending& it)
+std::string describe_platform(const request_ending& it)
 {
     if (it.last.get("platform") != "out")
         return " The node reached the platform.";
     const auto* since =
-        latest(it.around, event::platform_out, it.last,
+        latest(it.context, event::platform_out, it.last,
                [&](const log_line& o) { return o.host == it.last.host; });
     if (since == nullptr)
         return " The node was cut off from the platform.";
     return " The node was cut off from the platform, since " +
-           ago(*since, it.last) + ".";
+           time_before(*since, it.last) + ".";
 }
 
-std::string short_of_tokens(const ending& it)
+std::string explain_short_of_tokens(const request_ending& it)
 {
     const std::string team(it.last.get("team"));
     std::string out = "Refused, and not run: team " + team + " had " +
                       std::string(it.last.get("tokens_free")) +
                       " tokens free at this node, less than the request may "
                       "cost, and no other node gave the rest in time.";
-    out += platform_of(it);
+    out += describe_platform(it);
     const auto* got = latest(
-        it.around, event::tokens_allotted, it.last, [&](const log_line& o) {
+        it.context, event::tokens_allotted, it.last, [&](const log_line& o) {
             const std::string amounts = "," + std::string(o.get("amounts"));
             return amounts.find("," + team + ":") != std::string::npos;
         });
     if (got != nullptr)
-        out += " The team last got tokens " + ago(*got, it.last) +
+        out += " The team last got tokens " + time_before(*got, it.last) +
                ", by host " + got->host + ".";
     else
         out += " The team got no tokens in the 30 s before: what it prepaid "
-               "is used up, or its stockists couldn't write.";
-    const auto* started = latest(it.around, event::node_started, it.last,
+               "is used up, or its stock holders couldn't write.";
+    const auto* started = latest(it.context, event::node_started, it.last,
                                  [](const log_line&) { return true; });
     if (started != nullptr)
-        out += " Host " + started->host + " started " + ago(*started, it.last) +
-               "; what a process held before it is lost to the team.";
+        out += " Host " + started->host + " started " +
+               time_before(*started, it.last) +
+               "; tokens that the previous process held are lost to the team.";
     return out;
 }
 
-/// What is known of the last target.
-std::string target_of(const ending& it)
+/// Describes the last attempt, and whether its target died around that time.
+std::string describe_last_attempt(const request_ending& it)
 {
     const std::string target(it.last.get("target"));
     if (it.attempt == nullptr)
@@ -117,18 +120,19 @@
     std::string out = " The last attempt, at target " + target + ", ended " +
                       quoted(it.attempt->get("ended")) + " at " +
                       quoted(it.attempt->get("detail")) + ".";
-    const auto died = it.around.find(event::target_died);
-    if (died == it.around.end())
+    const auto died = it.context.find(event::target_died);
+    if (died == it.context.end())
         return out;
     for (const log_line& o : died->second)
-        if (o.get("target") == target && o.at + cause_span >= it.last.at &&
-            o.at <= it.last.at + cause_span)
-            return out + " The target couldn't be dialled afterwards: it "
-                         "died.";
+        if (o.get("target") == target &&
+            o.at + max_cause_distance >= it.last.at &&
+            o.at <= it.last.at + max_cause_distance)
+            return out + " No connection to the target could be opened "
+                         "afterwards: it died.";
     return out;
 }
 
-std::string answered(const ending& it)
+std::string explain_answered(const request_ending& it)
 {
     std::string out =
         "Answered, after " + std::string(it.last.get("ms")) + " ms.";
@@ -138,43 +142,49 @@
                  "before; it may not have taken the answer.";
 }
 
-std::string late(const ending& it)
+std::string explain_late(const request_ending& it)
 {
-    return "Given up after " + std::string(it.last.get("ms")) +
-           " ms: the route's or the caller's time was over. It may have run " +
-           std::string(it.last.get("may_have_run")) + " times." + target_of(it);
+    return "Failed after " + std::string(it.last.get("ms")) +
+           " ms: the deadline of the route or of the caller had passed. It may "
+           "have run " +
+           std::string(it.last.get("may_have_run")) + " times." +
+           describe_last_attempt(it);
 }
 
-std::string unknown(const ending& it)
+std::string explain_unknown(const request_ending& it)
 {
-    return "Sent, and no whole answer came; it may have run, and must not be "
-           "sent again. Whether it ran, only the target's owner can say." +
-           target_of(it);
+    return "Sent, but no complete answer arrived; it may have run, and must "
+           "not "
+           "be sent again. Whether it ran, only the target's owner can say." +
+           describe_last_attempt(it);
 }
 
-std::string cut(const ending& it)
+std::string explain_cut(const request_ending& it)
 {
     return "The stream was cut after " + std::string(it.last.get("events")) +
-           " events, and couldn't be taken up elsewhere." + target_of(it);
+           " events, and couldn't be resumed at another target." +
+           describe_last_attempt(it);
 }
 
-std::string passed_on(const ending& it)
+std::string explain_passed_on(const request_ending& it)
 {
-    return "The target's own failure, passed on as it was (" +
-           std::string(it.last.get("reason")) + ")." + target_of(it);
+    return "The target answered with a failure, which was passed on unchanged "
+           "(" +
+           std::string(it.last.get("reason")) + ")." +
+           describe_last_attempt(it);
 }
 
-std::string not_run(const ending& it)
+std::string explain_not_run(const request_ending& it)
 {
-    return "Refused, and not run: no target took it (" +
-           std::string(it.last.get("reason")) + "). " +
-           std::string(it.last.get("rejections")) + " rejected it." +
-           target_of(it);
+    return "Refused, and not run: no target accepted it (" +
+           std::string(it.last.get("reason")) +
+           "). Rejections: " + std::string(it.last.get("rejections")) + "." +
+           describe_last_attempt(it);
 }
 
-/// How the connection ended, where that isn't the caller's closing it, and
-/// what may have kept the request waiting before it was read.
-std::string end_of_connection(const ending& it)
+/// How the caller's connection ended, unless the caller closed it, and whether
+/// a stalled event loop may have delayed reading the request.
+std::string describe_connection_end(const request_ending& it)
 {
     std::string out;
     const auto end = it.last.get("caller_end");
@@ -182,61 +192,67 @@
         out += " Its connection ended by: " + std::string(end) + ".";
     const auto lag = it.last.get("lag_ms");
     if (!lag.empty() && lag != "0")
-        out += " The node's loop had stood still for up to " +
+        out += " The node's event loop had stood still for up to " +
                std::string(lag) + " ms within the second before.";
     return out;
 }
 
-std::string left(const ending& it)
+std::string explain_caller_left(const request_ending& it)
 {
     return "The caller left after " + std::string(it.last.get("ms")) +
-           " ms, while this was awaited: " +
-           std::string(it.last.get("reason")) + "." + end_of_connection(it) +
-           target_of(it);
+           " ms, while the node was waiting for: " +
+           std::string(it.last.get("reason")) + "." +
+           describe_connection_end(it) + describe_last_attempt(it);
 }
 
-std::string other_refusal(const ending& it)
+std::string explain_other_refusal(const request_ending& it)
 {
     return "Refused, and not run: " + std::string(it.last.get("reason")) +
            " (status " + std::string(it.last.get("outcome")) + ").";
 }
 
-struct wording
+struct explanation_rule
 {
     int event;
-    std::string_view field; ///< Which field decides; empty: none.
+    std::string_view field; ///< Field to compare; empty: any line matches.
     std::string_view value;
-    std::string (*say)(const ending&);
+    std::string (*explain)(const request_ending&);
 };
 
-constexpr std::array wordings{
-    wording{event::request_answered, "", "", answered},
-    wording{event::request_refused, "reason", "short of tokens",
-            short_of_tokens},
-    wording{event::request_refused, "outcome", "not_run", not_run},
-    wording{event::request_refused, "", "", other_refusal},
-    wording{event::call_rejected, "", "", other_refusal},
-    wording{event::request_failed, "outcome", "late", late},
-    wording{event::request_failed, "outcome", "unknown", unknown},
-    wording{event::request_failed, "outcome", "cut", cut},
-    wording{event::request_failed, "outcome", "passed_on", passed_on},
-    wording{event::caller_left, "", "", left},
+constexpr std::array explanation_rules{
+    explanation_rule{event::request_answered, "", "", explain_answered},
+    explanation_rule{event::request_refused, "reason", "short of tokens",
+                     explain_short_of_tokens},
+    explanation_rule{event::request_refused, "outcome", "not_run",
+                     explain_not_run},
+    explanation_rule{event::request_refused, "", "", explain_other_refusal},
+    explanation_rule{event::call_rejected, "", "", explain_other_refusal},
+    explanation_rule{event::request_failed, "outcome", "late", explain_late},
+    explanation_rule{event::request_failed, "outcome", "unknown",
+                     explain_unknown},
+    explanation_rule{event::request_failed, "outcome", "cut", explain_cut},
+    explanation_rule{event::request_failed, "outcome", "passed_on",
+                     explain_passed_on},
+    explanation_rule{event::caller_left, "", "", explain_caller_left},
 };
 
-const wording* wording_of(const log_line& line)
+const explanation_rule* find_rule(const log_line& line)
 {
-    const auto it = std::ranges::find_if(wordings, [&](const wording& o) {
-        return o.event == line.event &&
-               (o.field.empty() || line.get(std::string(o.field)) == o.value);
-    });
-    return it == wordings.end() ? nullptr : &*it;
+    const auto it =
+        std::ranges::find_if(explanation_rules, [&](const explanation_rule& o) {
+            return o.event == line.event &&
+                   (o.field.empty() ||
+                    line.get(std::string(o.field)) == o.value);
+        });
+    return it == explanation_rules.end() ? nullptr : &*it;
 }
 
-/// Where lines were left out, the request's own may be among them.
-std::string left_out(const around_map& around)
+/// A note if nodes dropped log lines, since lines of the request may be among
+/// them; otherwise empty.
+std::string dropped_lines_note(const context_map& context)
 {
-    const auto found = around.find(event::log_lines_dropped);
-    if (found == around.end())
+    const auto found = context.find(event::log_lines_dropped);
+    if (found == context.end())
         return "";
     return "Note: " + std::to_string(found->second.size()) +
            " times a node left lines out (event " +
@@ -293,23 +309,23 @@
     if (!line)
         return false;
     if (line->get("id") == id_) {
-        own_.push_back(*line);
+        request_lines_.push_back(*line);
         return true;
     }
     const bool kept =
-        std::ranges::find(around_events, line->event) != around_events.end();
+        std::ranges::find(context_events, line->event) != context_events.end();
     if (!kept)
         return true;
-    auto& lines = around_[line->event];
+    auto& lines = context_[line->event];
     lines.push_back(*line);
-    if (lines.size() > most_around)
+    if (lines.size() > max_lines_per_event)
         lines.pop_front();
     return true;
 }
 
-std::vector<log_line> request_timeline::ordered() const
+std::vector<log_line> request_timeline::sorted_lines() const
 {
-    std::vector<log_line> out = own_;
+    std::vector<log_line> out = request_lines_;
     std::ranges::stable_sort(out, {}, &log_line::time);
     return out;
 }
@@ -317,11 +333,12 @@
 std::string request_timeline::explain() const
 {
     std::ostringstream out;
-    if (own_.empty()) {
-        out << "No line tells of request " << id_ << ".\n" << left_out(around_);
+    if (request_lines_.empty()) {
+        out << "No line tells of request " << id_ << ".\n"
+            << dropped_lines_note(context_);
         return out.str();
     }
-    const auto lines = ordered();
+    const auto lines = sorted_lines();
     const log_line* attempt = nullptr;
     const log_line* last = nullptr;
     for (const log_line& it : lines) {
@@ -334,14 +351,15 @@
         out << '\n';
         if (it.event == event::attempt_ended)
             attempt = &it;
-        if (wording_of(it) != nullptr)
+        if (find_rule(it) != nullptr)
             last = &it;
     }
     out << '\n';
     if (last == nullptr)
-        out << "How it ended isn't in these logs.\n" << left_out(around_);
+        out << "These logs don't contain the outcome.\n"
+            << dropped_lines_note(context_);
     else
-        out << wording_of(*last)->say({*last, attempt, around_}) << '\n';
+        out << find_rule(*last)->explain({*last, attempt, context_}) << '\n';
     return out.str();
 }
 
--- a/libs/report/request_timeline_test.cpp
+++ b/libs/report/request_timeline_test.cpp
@@ -16,124 +16,129 @@
            R"(,"name":"n","level":"info")" + more + "}";
 }
 
-bool says(const request_timeline& course, const char* words)
+bool explanation_contains(const request_timeline& timeline, const char* text)
 {
-    return course.explain().find(words) != std::string::npos;
+    return timeline.explain().find(text) != std::string::npos;
 }
 
 } // namespace
 
 TEST_GROUP(request_timeline){};
 
-// Story: a team's tokens run out while the node that takes them out of the
-// record is cut off. On-call has the id of a refused request, and has to find
-// the cut and the last refill from the logs alone.
-TEST(request_timeline, a_refusal_in_a_cut_names_the_cut_and_the_last_refill)
+// A team runs out of tokens while the node that takes them from the allotment
+// record can't reach the platform. From the id of a refused request and the
+// logs alone, an operator must find the partition and the last refill.
+TEST(request_timeline, a_refusal_names_the_partition_and_the_last_refill)
 {
-    request_timeline course("r1");
-    CHECK(course.add(line("12.089", "a", 1511,
-                          R"(,"id":"r1","outcome":"503",)"
-                          R"("reason":"short of tokens","team":"t",)"
-                          R"("tokens_free":"417","platform":"out")")));
-    CHECK(course.add(line("02.000", "a", 1202, R"(,"detail":"x")")));
-    CHECK(course.add(line("03.000", "b", 1202, R"(,"detail":"x")")));
-    CHECK(course.add(line("01.500", "b", 1410, R"(,"amounts":"s:5,t:99")")));
-    CHECK(course.add(line("04.000", "b", 1410, R"(,"amounts":"tt:5")")));
-    CHECK(says(course, "not run: team t had 417 tokens free"));
-    CHECK(says(course, "cut off from the platform, since 10.1 s before"));
-    CHECK(says(course, "last got tokens 10.6 s before, by host b"));
+    request_timeline timeline("r1");
+    CHECK(timeline.add(line("12.089", "a", 1511,
+                            R"(,"id":"r1","outcome":"503",)"
+                            R"("reason":"short of tokens","team":"t",)"
+                            R"("tokens_free":"417","platform":"out")")));
+    CHECK(timeline.add(line("02.000", "a", 1202, R"(,"detail":"x")")));
+    CHECK(timeline.add(line("03.000", "b", 1202, R"(,"detail":"x")")));
+    CHECK(timeline.add(line("01.500", "b", 1410, R"(,"amounts":"s:5,t:99")")));
+    CHECK(timeline.add(line("04.000", "b", 1410, R"(,"amounts":"tt:5")")));
+    CHECK(
+        explanation_contains(timeline, "not run: team t had 417 tokens free"));
+    CHECK(explanation_contains(
+        timeline, "cut off from the platform, since 10.1 s before"));
+    CHECK(explanation_contains(timeline,
+                               "last got tokens 10.6 s before, by host b"));
 }
 
-// Story: a target dies in the middle of a stream that may not be taken up
-// elsewhere; the caller sees its answer end.
+// A target dies in the middle of a stream that can't be resumed at another
+// target, so the caller's answer is truncated.
 TEST(request_timeline, a_cut_stream_names_the_target_that_died)
 {
-    request_timeline course("r2");
-    course.add(line("05.200", "a", 1512,
-                    R"(,"id":"r2","outcome":"cut","reason":"broken",)"
-                    R"("target":"i-9","events":"17")"));
-    course.add(line("05.100", "a", 1514,
-                    R"(,"id":"r2","target":"i-9","ended":"broken",)"
-                    R"("detail":"answer's body: Connection reset by peer")"));
-    course.add(line("05.900", "b", 1610, R"(,"target":"i-9")"));
-    CHECK(says(course, "cut after 17 events"));
-    CHECK(says(course, "target i-9, ended 'broken' at 'answer's body"));
-    CHECK(says(course, "it died"));
+    request_timeline timeline("r2");
+    timeline.add(line("05.200", "a", 1512,
+                      R"(,"id":"r2","outcome":"cut","reason":"broken",)"
+                      R"("target":"i-9","events":"17")"));
+    timeline.add(line("05.100", "a", 1514,
+                      R"(,"id":"r2","target":"i-9","ended":"broken",)"
+                      R"("detail":"answer's body: Connection reset by peer")"));
+    timeline.add(line("05.900", "b", 1610, R"(,"target":"i-9")"));
+    CHECK(explanation_contains(timeline, "cut after 17 events"));
+    CHECK(explanation_contains(timeline,
+                               "target i-9, ended 'broken' at 'answer's body"));
+    CHECK(explanation_contains(timeline, "it died"));
 }
 
-// Story: a connection falls silent after a request that may run once was sent.
-// Nobody here knows whether it ran; the answer said so.
-TEST(request_timeline, an_unknown_outcome_sends_on_call_to_the_targets_owner)
+// The connection goes silent after a request that may run only once was sent.
+// The fleet can't know whether it ran, and told the caller so.
+TEST(request_timeline, an_unknown_outcome_refers_to_the_targets_owner)
 {
-    request_timeline course("r3");
-    course.add(line("05.200", "a", 1512,
-                    R"(,"id":"r3","outcome":"unknown","reason":"broken",)"
-                    R"("target":"i-9")"));
-    CHECK(says(course, "only the target's owner can say"));
-    CHECK(!says(course, "it died"));
+    request_timeline timeline("r3");
+    timeline.add(line("05.200", "a", 1512,
+                      R"(,"id":"r3","outcome":"unknown","reason":"broken",)"
+                      R"("target":"i-9")"));
+    CHECK(explanation_contains(timeline, "only the target's owner can say"));
+    CHECK(!explanation_contains(timeline, "it died"));
 }
 
-TEST(request_timeline, lines_of_all_hosts_come_in_order)
+TEST(request_timeline, lines_of_all_hosts_are_sorted_by_time)
 {
-    request_timeline course("r4");
-    course.add(line("07.000", "a", 1510, R"(,"id":"r4","ms":"12")"));
-    course.add(
+    request_timeline timeline("r4");
+    timeline.add(line("07.000", "a", 1510, R"(,"id":"r4","ms":"12")"));
+    timeline.add(
         line("06.000", "b", 1511,
              R"(,"id":"r4","outcome":"503","reason":"the node leaves")"));
-    const std::string text = course.explain();
+    const std::string text = timeline.explain();
     CHECK(text.find("the node leaves") < text.find("Answered, after 12 ms."));
 }
 
-TEST(request_timeline, says_what_it_does_not_know)
+TEST(request_timeline, reports_missing_and_dropped_lines)
 {
-    request_timeline course("r5");
-    CHECK(!course.add("no JSON at all"));
-    CHECK(!course.add(R"({"event":1510})"));
-    CHECK(!course.add(R"({"event":"x","time":"2026-05-17T13:40:01Z"})"));
-    CHECK(course.add(line("01.000", "a", 1012, R"(,"1510":50)")));
-    CHECK(!course.found());
-    CHECK(says(course, "No line tells of request r5"));
-    CHECK(says(course, "1 times a node left lines out"));
+    request_timeline timeline("r5");
+    CHECK(!timeline.add("no JSON at all"));
+    CHECK(!timeline.add(R"({"event":1510})"));
+    CHECK(!timeline.add(R"({"event":"x","time":"2026-05-17T13:40:01Z"})"));
+    CHECK(timeline.add(line("01.000", "a", 1012, R"(,"1510":50)")));
+    CHECK(!timeline.found());
+    CHECK(explanation_contains(timeline, "No line tells of request r5"));
+    CHECK(explanation_contains(timeline, "1 times a node left lines out"));
 }
 
-TEST(request_timeline, whatever_a_log_printer_puts_before_a_line_is_skipped)
+TEST(request_timeline, a_prefix_before_the_json_is_skipped)
 {
     const auto got =
         parse_log_line("  12.1 host-a " + line("12.089", "a", 1510, ""));
     CHECK(got && got->event == 1510 && got->host == "a");
 }
 
-// Story: a caller got no answer, and on-call asks whether it left by itself or
-// was cut. The node had stood still, and the network reset the connection.
-TEST(request_timeline, a_caller_that_left_is_told_from_a_connection_that_broke)
+// A caller got no answer. The explanation must distinguish a caller that closed
+// its connection from one whose connection was reset by the network while the
+// node's event loop was stalled.
+TEST(request_timeline, a_caller_that_left_differs_from_a_broken_connection)
 {
     request_timeline closed("r1");
     closed.add(line("01.000", "a", 1513,
                     R"(,"id":"r1","ms":"52","reason":"answer's head",)"
                     R"("caller_end":"closed","lag_ms":"0")"));
-    CHECK(says(closed, "left after 52 ms"));
-    CHECK(!says(closed, "connection ended by"));
-    CHECK(!says(closed, "stood still"));
+    CHECK(explanation_contains(closed, "left after 52 ms"));
+    CHECK(!explanation_contains(closed, "connection ended by"));
+    CHECK(!explanation_contains(closed, "stood still"));
     request_timeline broken("r2");
     broken.add(line("01.000", "a", 1513,
                     R"(,"id":"r2","ms":"3","reason":"answer's head",)"
                     R"("caller_end":"reset","lag_ms":"48")"));
-    CHECK(says(broken, "connection ended by: reset"));
-    CHECK(says(broken, "stood still for up to 48 ms"));
+    CHECK(explanation_contains(broken, "connection ended by: reset"));
+    CHECK(explanation_contains(broken, "stood still for up to 48 ms"));
 }
 
-// Story: a caller's connection ended just after its request was sent on. The
-// target's answer still came and was written, so the last line says answered;
-// the caller got nothing.
-TEST(request_timeline, an_answer_after_its_callers_end_may_not_have_arrived)
+// A caller's connection ends just after its request was forwarded. The target's
+// answer still arrives and is written, so the last line says `answered`,
+// although the caller got nothing.
+TEST(request_timeline, an_answer_after_the_connection_ended_may_be_lost)
 {
-    request_timeline course("r1");
-    course.add(line("01.000", "a", 1510,
-                    R"(,"id":"r1","ms":"16","caller_end":"closed")"));
-    CHECK(says(course, "Answered, after 16 ms"));
-    CHECK(says(course, "may not have taken the answer"));
+    request_timeline timeline("r1");
+    timeline.add(line("01.000", "a", 1510,
+                      R"(,"id":"r1","ms":"16","caller_end":"closed")"));
+    CHECK(explanation_contains(timeline, "Answered, after 16 ms"));
+    CHECK(explanation_contains(timeline, "may not have taken the answer"));
     request_timeline plain("r2");
     plain.add(
         line("01.000", "a", 1510, R"(,"id":"r2","ms":"16","caller_end":"")"));
-    CHECK(!says(plain, "may not have taken"));
+    CHECK(!explanation_contains(plain, "may not have taken"));
 }
