--- a/apps/fennelladder/benches.hpp
+++ b/apps/fennelladder/benches.hpp
@@ -1,5 +1,5 @@
-// Every measurement's entry point. Each is defined in bench_NAME.cpp and
-// returns an exit code (see command.hpp). argv[0] is the bench's name.
+// Entry points of all benchmarks. Each is defined in bench_NAME.cpp and returns
+// an exit code (see command.hpp). argv[0] is the benchmark's name.
 
 #ifndef FENNELLADDER_APPS_BENCHES_HPP
 #define FENNELLADDER_APPS_BENCHES_HPP
--- a/apps/fennelladder/books_reader.cpp
+++ b/apps/fennelladder/books_reader.cpp
@@ -1,10 +1,11 @@
-// A top-up is sent as three records: join and topup in one append, leave in a
-// second. The top-up alone would do, but its writer's marks would then stay in
-// the shard's fold for good, one writer per payment; `leave` retires it, and
-// of retired writers a bounded number of names is kept. Leave goes second
-// because a retired writer's records are no longer told from those that never
-// counted, so the top-up's outcome must be known before. If it is lost, a
-// holder without tokens stays in the books: harmless.
+// A top-up is sent as three records: `join` and `topup` in one append, `leave`
+// in a second one. `topup` alone would suffice, but then the marks of its
+// writer would stay in the shard's fold forever, one writer per payment.
+// `leave` retires the writer; the fold keeps the names of a bounded number of
+// retired writers. `leave` is appended separately because the records of a
+// retired writer can't be told from records that were never applied, so the
+// outcome of `topup` must be known first. If `leave` is lost, a holder without
+// tokens stays in the books, which is harmless.
 
 #include "books_reader.hpp"
 
@@ -33,29 +34,32 @@
     return std::move(got->value);
 }
 
-bool worth_another_try(error_code code)
+bool is_retryable(error_code code)
 {
     return code == error_code::unavailable || code == error_code::ambiguous ||
            code == error_code::conflict;
 }
 
-/// Appends until the outcome is known. Guards against a lost reply: the append
-/// fails with `ambiguous` although it counted; the same marks again find it.
+/// Appends until the outcome is known or no attempts are left. If a reply
+/// is lost, the append fails with `ambiguous` although it was applied;
+/// appending the same marks again then returns its outcome.
 result<std::vector<journal::applied_record>>
-append_surely(journal::shard_log& log,
-              const std::vector<journal::record>& records, int tries)
+append_until_known(journal::shard_log& log,
+                   const std::vector<journal::record>& records,
+                   int attempts_left)
 {
-    bool in_doubt = false;
+    bool ambiguous = false;
     while (true) {
         auto made = log.append(records);
         if (made)
             return made;
         error why = made.error();
-        in_doubt = in_doubt || why.code == error_code::ambiguous;
-        if (--tries > 0 && worth_another_try(why.code))
+        ambiguous = ambiguous || why.code == error_code::ambiguous;
+        if (--attempts_left > 0 && is_retryable(why.code))
             continue;
-        // Once in doubt, a later failure doesn't prove that nothing happened.
-        if (in_doubt)
+        // After an ambiguous attempt, a later failure doesn't prove that the
+        // records were not applied.
+        if (ambiguous)
             why.code = error_code::ambiguous;
         return tl::unexpected(std::move(why));
     }
@@ -66,8 +70,10 @@
     if (it.outcome == journal::record_outcome::accepted ||
         it.outcome == journal::record_outcome::refused)
         return budget::decode_outcome(it.reply);
-    return fail(error_code::conflict,
-                "the writer's name is used up; try again with the same id");
+    return fail(
+        error_code::conflict,
+        "the writer's incarnation can't be used any more; retry with the "
+        "same top-up id");
 }
 
 } // namespace
@@ -128,36 +134,36 @@
     return it != rows->end() ? std::optional(*it) : std::nullopt;
 }
 
-books_read
+books_read_result
 read_books(platform::object_store& store, const journal::journal_layout& layout,
            const std::function<void(const budget::budget_books&)>& visit)
 {
-    books_read done{.shards = layout.shards};
+    books_read_result summary{.shards = layout.shards};
     for (std::uint32_t n = 0; n < layout.shards; ++n) {
         journal::shard_log log(store, layout, shard_id(n),
                                budget::books_factory(), n + 1);
         if (const auto ok = log.recover(); !ok) {
-            done.failures.push_back("shard " + std::to_string(n) + ": " +
-                                    std::string(to_string(ok.error().code)) +
-                                    ": " + ok.error().message);
+            summary.failures.push_back("shard " + std::to_string(n) + ": " +
+                                       std::string(to_string(ok.error().code)) +
+                                       ": " + ok.error().message);
             continue;
         }
         visit(budget::books_of(log.state()));
-        ++done.read;
+        ++summary.read;
     }
-    return done;
+    return summary;
 }
 
 result<budget::outcome> book_topup(platform::object_store& store,
                                    const journal::journal_layout& layout,
-                                   const budget::topup& wish,
+                                   const budget::topup& topup,
                                    const incarnation_id& writer,
                                    const topup_options& options)
 {
     journal::shard_log_options with;
     with.wait = options.wait;
     journal::shard_log log(store, layout,
-                           journal::shard_of(wish.team, layout.shards),
+                           journal::shard_of(topup.team, layout.shards),
                            budget::books_factory(), options.seed, with);
     const auto opened_at = log.read_checkpoint_position();
     if (!opened_at)
@@ -171,15 +177,16 @@
         made.payload = budget::encode_record(body);
         return made;
     };
-    // No time in it: an operator's clock has no say in what the books forget.
-    const auto done = append_surely(
-        log, {make(join_sequence, budget::join{}), make(topup_sequence, wish)},
-        options.tries);
-    if (!done)
-        return tl::unexpected(done.error());
-    (void)append_surely(log, {make(leave_sequence, budget::leave{})},
-                        options.tries);
-    return outcome_of(done->at(1));
+    // The records carry no time: the operator's clock must not decide what the
+    // books drop.
+    const auto applied = append_until_known(
+        log, {make(join_sequence, budget::join{}), make(topup_sequence, topup)},
+        options.max_attempts);
+    if (!applied)
+        return tl::unexpected(applied.error());
+    (void)append_until_known(log, {make(leave_sequence, budget::leave{})},
+                             options.max_attempts);
+    return outcome_of(applied->at(1));
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/books_reader.hpp
+++ b/apps/fennelladder/books_reader.hpp
@@ -1,15 +1,15 @@
-// What status, report and topup share: the accepted configuration and the
-// books of all shards, read from the platform by a tool that is no node.
+// Access to the accepted configuration and to the budget books of all shards
+// for tools that aren't nodes: status, report and topup.
 //
 //     auto layout = journal::find_layout(store);
-//     auto read = read_books(store, *layout, [&](const auto& books) {
+//     auto summary = read_books(store, *layout, [&](const auto& books) {
 //         report.add(books);
 //     });
-//     auto made = book_topup(store, *layout, wish, writer, {.seed = seed});
+//     auto made = book_topup(store, *layout, topup, writer, {.seed = seed});
 //
-// Reading stores nothing; the layout is read, never established. Costs one
-// checkpoint and the segments after it per shard, and holds one shard's books
-// at a time.
+// Reading never writes to the platform: the journal's layout must exist and is
+// not established here. Reading the books fetches one checkpoint per shard and
+// the segments after it, and keeps one shard's books in memory at a time.
 
 #ifndef FENNELLADDER_APPS_BOOKS_READER_HPP
 #define FENNELLADDER_APPS_BOOKS_READER_HPP
@@ -27,55 +27,59 @@
 
 namespace fennelladder::app {
 
-/// The accepted root. Errors: those of get() (`not_found`: nothing has been
-/// accepted yet), and `corrupt`.
+/// Reads the root of the accepted configuration. Errors: those of
+/// object_store::get() (`not_found`: nothing has been accepted yet), and
+/// `corrupt`.
 result<manifest::root> read_root(platform::object_store& store);
 
-/// The names of an accepted configuration's parts. Errors as read_root().
+/// Reads the names of the parts of an accepted configuration. Errors as for
+/// read_root().
 result<manifest::directory> read_directory(platform::object_store& store,
                                            const manifest::root& accepted);
 
-/// All targets of a configuration. Errors as read_root().
+/// Reads all targets of a configuration, sorted by id. Errors as for
+/// read_root().
 result<std::vector<manifest::target>>
 read_targets(platform::object_store& store, const manifest::directory& names);
 
-/// A budget of the accepted configuration, or nothing; reads one bucket.
-/// Errors as read_root().
+/// Looks up a budget of the accepted configuration, reading one bucket of
+/// budgets. Returns nothing if there is no such budget. Errors as for
+/// read_root().
 result<std::optional<manifest::budget>>
 read_budget(platform::object_store& store, const budget_id& id);
 
-/// What read_books() got through.
-struct books_read
+/// How many shards read_books() has read, and why it couldn't read others.
+struct books_read_result
 {
-    std::uint32_t shards = 0; ///< That there are.
+    std::uint32_t shards = 0; ///< All shards of the layout.
     std::uint32_t read = 0;
-    std::vector<std::string> failures; ///< One line per shard not read.
+    std::vector<std::string> failures; ///< One line per unread shard.
 
     bool complete() const { return read == shards; }
 };
 
-/// Calls `visit` with the books of each shard, as of the reading; a shard that
-/// can't be read is told and passed over.
-books_read
+/// Calls `visit` with the current books of each shard. A shard that can't be
+/// read is skipped and listed in `failures`.
+books_read_result
 read_books(platform::object_store& store, const journal::journal_layout& layout,
            const std::function<void(const budget::budget_books&)>& visit);
 
 struct topup_options
 {
-    std::uint64_t seed = 1;                  ///< Of the waits between tries.
-    int tries = 8;                           ///< Of the whole append.
-    std::function<void(duration)> wait = {}; ///< Empty: sleep.
+    std::uint64_t seed = 1;                  ///< Of the waits between attempts.
+    int max_attempts = 8;                    ///< To append the same records.
+    std::function<void(duration)> wait = {}; ///< Empty: sleeps.
 };
 
-/// Books `wish` in its team's shard under the incarnation `writer`, which
-/// must be new, and waits for the outcome: `applied`, `duplicate` (its id is
-/// in the books), `refused` or `invalid`. A lost reply is resolved by
-/// appending the same mark again. Errors: `unavailable` (not booked),
-/// `ambiguous` (may be booked: call again with the same id and a new writer),
-/// and those of journal::shard_log::append().
+/// Books `topup` in its team's shard under the incarnation `writer`, which must
+/// not have been used before, and waits for the outcome: `applied`, `duplicate`
+/// (its id is already in the books), `refused` or `invalid`. After a lost reply
+/// appends records with the same marks again, so that they count once. Errors:
+/// `unavailable` (not booked), `ambiguous` (may be booked: call again with the
+/// same id and a new writer), and those of journal::shard_log::append().
 result<budget::outcome> book_topup(platform::object_store& store,
                                    const journal::journal_layout& layout,
-                                   const budget::topup& wish,
+                                   const budget::topup& topup,
                                    const incarnation_id& writer,
                                    const topup_options& options);
 
--- a/apps/fennelladder/books_reader_test.cpp
+++ b/apps/fennelladder/books_reader_test.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 const team_id team("bikes");
-const budget_id fund("bikes-main");
+const budget_id main_budget("bikes-main");
 
 struct books_reader_fixture : Utest
 {
@@ -31,9 +31,9 @@
                                 const team_id& who = team)
     {
         const incarnation_id writer("topup." + std::to_string(++writers));
-        return book_topup(store, layout, {who, fund, topup_id(id), tokens(n)},
-                          writer,
-                          {.seed = 3, .tries = 50, .wait = [](duration) {}});
+        return book_topup(
+            store, layout, {who, main_budget, topup_id(id), tokens(n)}, writer,
+            {.seed = 3, .max_attempts = 50, .wait = [](duration) {}});
     }
 
     std::int64_t prepaid()
@@ -50,7 +50,7 @@
 
 TEST_GROUP_BASE(books_reader, books_reader_fixture){};
 
-TEST(books_reader, find_layout_never_stores_one)
+TEST(books_reader, find_layout_never_creates_a_layout)
 {
     platform::memory_object_store empty;
     const auto none = journal::find_layout(empty);
@@ -59,7 +59,7 @@
     LONGS_EQUAL(4, journal::find_layout(memory)->shards);
 }
 
-TEST(books_reader, topup_counts_once_by_its_id)
+TEST(books_reader, topup_is_idempotent_by_id)
 {
     using budget::verdict;
     struct row
@@ -67,7 +67,7 @@
         const char* id;
         std::int64_t amount;
         team_id who;
-        verdict want;
+        verdict expected;
         std::int64_t prepaid;
     };
     const row rows[] = {
@@ -80,15 +80,15 @@
     for (const row& it : rows) {
         const auto made = pay(it.id, it.amount, it.who);
         CHECK(made.has_value());
-        CHECK(made->what == it.want);
+        CHECK(made->what == it.expected);
         LONGS_EQUAL(it.prepaid, prepaid());
     }
 }
 
-// A customer sees twice the tokens that were paid for. Order of events: the
-// top-up is written, the platform's reply is lost, the tool appends once more.
-// Cause: the second append would count if it had another mark.
-TEST(books_reader, lost_replies_neither_lose_nor_repeat_a_topup)
+// Guards against a top-up that is credited twice: the top-up is written, the
+// platform's reply is lost and the tool appends it again. The second append
+// would count if it had a different mark.
+TEST(books_reader, lost_replies_neither_drop_nor_repeat_a_topup)
 {
     for (int n = 1; n <= 40; ++n) {
         store.set({.lost_reply = 0.5, .lost_request = 0.2});
@@ -100,7 +100,7 @@
     CHECK(store.counts().lost_replies > 20);
 }
 
-TEST(books_reader, topup_in_an_outage_is_not_booked_and_says_so)
+TEST(books_reader, topup_during_an_outage_fails_as_unavailable)
 {
     store.set({.outage = true});
     const auto made = pay("may", 10);
@@ -109,14 +109,15 @@
     LONGS_EQUAL(0, prepaid());
 }
 
-// An operator pays again under a new id, since it was told "not booked". Order
-// of events: the top-up is written, its reply is lost, the platform goes out
-// for good. Cause: the last failure, `unavailable`, hides the earlier doubt.
-TEST(books_reader, doubt_outlives_a_later_outage)
+// Guards against a top-up that is booked but reported as not booked, so that
+// the operator pays again under a new id: the top-up is written, its reply is
+// lost, and the platform then stays unavailable. The last failure,
+// `unavailable`, must not replace the earlier `ambiguous`.
+TEST(books_reader, ambiguous_append_stays_ambiguous_after_a_later_outage)
 {
     store.set({.lost_reply = 1});
     const auto made = book_topup(
-        store, layout, {team, fund, topup_id("may"), tokens(10)},
+        store, layout, {team, main_budget, topup_id("may"), tokens(10)},
         incarnation_id("topup.x"),
         {.seed = 3, .wait = [this](duration) { store.set({.outage = true}); }});
     CHECK(!made && made.error().code == error_code::ambiguous);
@@ -126,7 +127,7 @@
     LONGS_EQUAL(10, prepaid());
 }
 
-TEST(books_reader, shards_that_cannot_be_read_are_told)
+TEST(books_reader, unreadable_shards_are_reported)
 {
     store.set({.outage = true});
     const auto done = read_books(store, layout, [](const auto&) {});
--- a/apps/fennelladder/command.hpp
+++ b/apps/fennelladder/command.hpp
@@ -1,4 +1,5 @@
-// The subcommands of the one binary, one file each (command_NAME.cpp).
+// Types shared by all subcommands. Each subcommand is implemented in its own
+// file, command_NAME.cpp.
 
 #ifndef FENNELLADDER_APPS_COMMAND_HPP
 #define FENNELLADDER_APPS_COMMAND_HPP
@@ -11,11 +12,12 @@
 enum exit_code : int
 {
     exit_success = 0,
-    exit_failure = 1,  ///< It ran, and what it was to show does not hold.
-    exit_bad_input = 2 ///< Bad settings or files; all findings are printed.
+    exit_failure = 1,  ///< It ran, but failed or found a violation.
+    exit_bad_input = 2 ///< Invalid flags or files; findings are printed.
 };
 
-/// A subcommand: argv[0] is its own name.
+/// A subcommand. `run` gets the subcommand's own name as argv[0] and returns
+/// an exit code.
 struct command
 {
     std::string_view name;
--- a/apps/fennelladder/command_apply.cpp
+++ b/apps/fennelladder/command_apply.cpp
@@ -25,48 +25,49 @@
     std::this_thread::sleep_for(length);
 }
 
-// Ids must differ between operators who start in the same instant.
-apply_id fresh_apply_id()
+// Random, since operators who start at the same time need different ids.
+apply_id random_apply_id()
 {
     std::random_device entropy;
     const std::uint64_t high = entropy();
     return apply_id(to_hex(high << 32U | entropy()));
 }
 
-settings::settings declare_settings()
+settings::settings declare_flags()
 {
-    settings::settings wanted(
+    settings::settings flags(
         "apply", "Makes a manifest the accepted configuration of the fleet.");
-    wanted.positional("FILE", 1, 1, "the manifest (docs/MANIFEST.md)");
-    wanted.text("platform", "http://127.0.0.1:7000",
-                "URL of the platform's object API");
-    wanted.number({.name = "base",
-                   .fallback = -1,
-                   .low = -1,
-                   .unit = "generation",
-                   .help = "fail unless this one is accepted at present; -1 "
-                           "takes the one found at start"});
-    wanted.text("apply-id", "",
-                "id of this change; give the same one to try again after an "
-                "ambiguous end (default: drawn)");
-    wanted.text("who", "operator", "name shown to operators who race with you");
-    wanted.flag("wait", "wait until it is in force on every node");
-    wanted.milliseconds("wait-limit", 60'000, "how long --wait waits at most");
-    wanted.flag("collect", "afterwards remove parts that nothing names any "
-                           "more");
-    return wanted;
+    flags.positional("FILE", 1, 1, "the manifest (docs/MANIFEST.md)");
+    flags.text("platform", "http://127.0.0.1:7000",
+               "URL of the platform's object API");
+    flags.number({.name = "base",
+                  .fallback = -1,
+                  .low = -1,
+                  .unit = "generation",
+                  .help = "fail unless this generation is the accepted one; -1 "
+                          "uses the one accepted at start"});
+    flags.text("apply-id", "",
+               "id of this change; pass the same one to retry after an "
+               "ambiguous failure (default: random)");
+    flags.text("who", "operator",
+               "name shown to operators who apply at the same time");
+    flags.flag("wait", "wait until the manifest is in force on every node");
+    flags.milliseconds("wait-limit", 60'000, "longest time that --wait waits");
+    flags.flag("collect", "afterwards remove parts that no configuration "
+                          "refers to");
+    return flags;
 }
 
-manifest::apply_request make_request(const settings::settings& given,
+manifest::apply_request make_request(const settings::settings& flags,
                                      manifest::document manifest, instant now)
 {
     manifest::apply_request request;
     request.manifest = std::move(manifest);
-    if (given.number_of("base") >= 0)
-        request.base = generation(std::uint64_t(given.number_of("base")));
-    const std::string& id = given.text_of("apply-id");
-    request.apply = id.empty() ? fresh_apply_id() : apply_id(id);
-    request.who = given.text_of("who");
+    if (flags.number_of("base") >= 0)
+        request.base = generation(std::uint64_t(flags.number_of("base")));
+    const std::string& id = flags.text_of("apply-id");
+    request.apply = id.empty() ? random_apply_id() : apply_id(id);
+    request.who = flags.text_of("who");
     request.at = now;
     return request;
 }
@@ -85,7 +86,8 @@
                   << " parts, " << it.bytes_sent << " bytes\n";
 }
 
-int wait_for(platform::object_store& store, generation wanted, duration limit)
+int wait_until_in_force(platform::object_store& store, generation wanted,
+                        duration limit)
 {
     const system_clock clock;
     const instant until = clock.now() + limit;
@@ -95,7 +97,8 @@
         if (nodes)
             seen = manifest::rollout_of(*nodes, wanted, clock.now());
         else
-            std::cerr << "statuses: " << nodes.error().message << '\n';
+            std::cerr << "reading node statuses: " << nodes.error().message
+                      << '\n';
         if (nodes && seen.complete())
             break;
         std::cout << seen.reached() << " of " << seen.expected() << " nodes\n";
@@ -107,16 +110,16 @@
     return seen.complete() ? exit_success : exit_failure;
 }
 
-int apply(const settings::settings& given)
+int apply(const settings::settings& flags)
 {
-    auto manifest = load_manifest(given.positionals()[0]);
+    auto manifest = load_manifest(flags.positionals()[0]);
     if (!manifest)
         return exit_bad_input;
     http::client connections;
     platform::platform_client store(connections,
-                                    {.url = given.text_of("platform")});
+                                    {.url = flags.text_of("platform")});
     const auto request =
-        make_request(given, std::move(*manifest), system_clock().now());
+        make_request(flags, std::move(*manifest), system_clock().now());
     manifest::applier applier(store, {}, pause);
     const auto receipt = applier.apply(request);
     if (!receipt) {
@@ -125,21 +128,21 @@
                   << '\n';
         if (why.code == error_code::ambiguous)
             std::cerr << "run again with --apply-id " << request.apply
-                      << " to learn what became of it\n";
+                      << " to learn its outcome\n";
         return why.code == error_code::too_large ? exit_bad_input
                                                  : exit_failure;
     }
     print_receipt(*receipt, request.apply);
-    if (given.flag_of("collect")) {
+    if (flags.flag_of("collect")) {
         const auto erased = applier.collect_orphans();
         if (erased)
             std::cout << "removed " << *erased << " orphans\n";
         else
             std::cerr << "collect: " << erased.error().message << '\n';
     }
-    if (given.flag_of("wait"))
-        return wait_for(store, receipt->number,
-                        given.duration_of("wait-limit"));
+    if (flags.flag_of("wait"))
+        return wait_until_in_force(store, receipt->number,
+                                   flags.duration_of("wait-limit"));
     return exit_success;
 }
 
@@ -147,11 +150,11 @@
 
 int run_apply(int argc, char** argv)
 {
-    settings::settings wanted = declare_settings();
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags = declare_flags();
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    return apply(wanted);
+    return apply(flags);
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/command_bench.cpp
+++ b/apps/fennelladder/command_bench.cpp
@@ -1,4 +1,4 @@
-// `fennelladder bench NAME`: measurements.
+// `fennelladder bench NAME`: benchmarks.
 
 #include "benches.hpp"
 #include "command_table.hpp"
@@ -10,21 +10,24 @@
 
 namespace {
 
-// One line each, sorted by name.
+// --help lists the benchmarks in this order.
 constexpr auto benches = std::to_array<command>({
-    {"config", "cost of the configuration by size and fleet", run_bench_config},
-    {"control", "what control costs a node, and how quick it is",
+    {"config", "cost of the configuration by its size and the fleet's",
+     run_bench_config},
+    {"control", "cost and latency of the control plane per node",
      run_bench_control},
-    {"budgets", "budgets under faults beside two baselines", run_bench_budgets},
+    {"budgets", "budgets under faults, compared with two baselines",
+     run_bench_budgets},
     {"reserve", "cost of reserve and settle in memory", run_bench_reserve},
-    {"choose", "one choice among many targets", run_bench_choose},
-    {"routing", "time to first token beside baselines", run_bench_routing},
-    {"history", "what recording and checking a history cost",
-     run_bench_history},
-    {"journal", "calls, bytes and time of the journal", run_bench_journal},
-    {"path", "what the way through a node adds, beside direct calls",
+    {"choose", "latency of one choice among many targets", run_bench_choose},
+    {"routing", "time to first token, compared with baselines",
+     run_bench_routing},
+    {"history", "cost of recording and checking a history", run_bench_history},
+    {"journal", "platform calls, bytes and latency of the journal",
+     run_bench_journal},
+    {"path", "latency added by a node, compared with direct calls",
      run_bench_path},
-    {"requests", "time and memory of a request beside its I/O",
+    {"requests", "time and memory per request, without its I/O",
      run_bench_requests},
 });
 
--- a/apps/fennelladder/command_check_history.cpp
+++ b/apps/fennelladder/command_check_history.cpp
@@ -1,4 +1,5 @@
-// `fennelladder check-history FILE`: judges a history (docs/HISTORY.md).
+// `fennelladder check-history FILE`: checks a recorded history against the
+// rules of docs/HISTORY.md.
 
 #include "command.hpp"
 #include "commands.hpp"
@@ -12,37 +13,38 @@
 
 namespace {
 
-settings::settings declare_settings()
+settings::settings declare_flags()
 {
-    settings::settings wanted("check-history",
-                              "Judges the record of a run by the rules of "
-                              "docs/HISTORY.md. Exit code 0: all hold, 1: "
-                              "violations, 2: the file is bad.");
-    wanted.positional("FILE", 1, 1, "history, JSON lines");
-    wanted.number({.name = "leaving-seconds",
-                   .fallback = 5,
-                   .low = 0,
-                   .high = 86'400,
-                   .unit = "s",
-                   .help = "how long a leaving target may get work"});
-    wanted.number({.name = "config-seconds",
-                   .fallback = 13,
-                   .low = 0,
-                   .high = 86'400,
-                   .unit = "s",
-                   .help = "by when a configuration must be in force"});
-    wanted.text("urgent-kinds", "",
-                "kinds of caller from the most to the least urgent, by comma");
-    wanted.choice("format", {"text", "json"}, "form of the report");
-    return wanted;
+    settings::settings flags("check-history",
+                             "Checks the recorded history of a run against the "
+                             "rules of docs/HISTORY.md. Exit code 0: all hold, "
+                             "1: violations, 2: the file is invalid.");
+    flags.positional("FILE", 1, 1, "the history, as JSON lines");
+    flags.number({.name = "leaving-seconds",
+                  .fallback = 5,
+                  .low = 0,
+                  .high = 86'400,
+                  .unit = "s",
+                  .help = "how long a leaving target may still get requests"});
+    flags.number(
+        {.name = "config-seconds",
+         .fallback = 13,
+         .low = 0,
+         .high = 86'400,
+         .unit = "s",
+         .help = "time within which a configuration must be in force"});
+    flags.text("urgent-kinds", "",
+               "caller kinds, from most to least urgent, separated by commas");
+    flags.choice("format", {"text", "json"}, "format of the report");
+    return flags;
 }
 
-history::check_options options_of(const settings::settings& wanted)
+history::check_options options_of(const settings::settings& flags)
 {
     history::check_options options;
-    options.leaving_grace = seconds(wanted.number_of("leaving-seconds"));
-    options.config_grace = seconds(wanted.number_of("config-seconds"));
-    std::istringstream kinds(wanted.text_of("urgent-kinds"));
+    options.leaving_grace = seconds(flags.number_of("leaving-seconds"));
+    options.config_grace = seconds(flags.number_of("config-seconds"));
+    std::istringstream kinds(flags.text_of("urgent-kinds"));
     for (std::string kind; std::getline(kinds, kind, ',');) {
         if (!kind.empty())
             options.urgent_kinds.emplace_back(kind);
@@ -54,13 +56,13 @@
 
 int run_check_history(int argc, char** argv)
 {
-    settings::settings wanted = declare_settings();
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags = declare_flags();
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    const std::string& path = wanted.positionals().front();
-    const auto report = history::check_file(path, options_of(wanted));
-    if (wanted.text_of("format") == "json")
+    const std::string& path = flags.positionals().front();
+    const auto report = history::check_file(path, options_of(flags));
+    if (flags.text_of("format") == "json")
         std::cout << history::to_json(report) << '\n';
     else
         std::cout << history::to_text(report,
--- a/apps/fennelladder/command_explain.cpp
+++ b/apps/fennelladder/command_explain.cpp
@@ -1,4 +1,5 @@
-// `fennelladder explain REQUEST_ID FILE...`: what became of a request, and why.
+// `fennelladder explain REQUEST_ID FILE...`: prints a request's attempts and
+// the cause of its outcome, as found in the logs of the nodes.
 
 #include "command.hpp"
 #include "commands.hpp"
@@ -25,11 +26,12 @@
             std::cerr << path << ": can't be read\n";
             return exit_bad_input;
         }
-        std::size_t strange = 0;
+        std::size_t unparsed = 0;
         for (std::string line; std::getline(in, line);)
-            strange += course.add(line) ? 0 : 1;
-        if (strange > 0)
-            std::cerr << path << ": " << strange << " lines are no log's\n";
+            unparsed += course.add(line) ? 0 : 1;
+        if (unparsed > 0)
+            std::cerr << path << ": " << unparsed
+                      << " lines aren't log lines\n";
     }
     std::cout << course.explain();
     return course.found() ? exit_success : exit_failure;
@@ -39,16 +41,16 @@
 
 int run_explain(int argc, char** argv)
 {
-    settings::settings wanted(
-        "explain", "Prints the course of a request by the logs of all nodes, "
-                   "and the cause of its end.");
-    wanted.positional("REQUEST_ID FILE...", 2,
-                      std::numeric_limits<std::size_t>::max(),
-                      "the request's id, and logs of `fennelladder front`");
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags(
+        "explain", "Prints the lifecycle of a request and the cause of its "
+                   "outcome, from the logs of all nodes.");
+    flags.positional(
+        "REQUEST_ID FILE...", 2, std::numeric_limits<std::size_t>::max(),
+        "the request's id and the log files of `fennelladder front`");
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    const auto& all = wanted.positionals();
+    const auto& all = flags.positionals();
     return explain(all[0], std::span(all).subspan(1));
 }
 
--- a/apps/fennelladder/command_front.cpp
+++ b/apps/fennelladder/command_front.cpp
@@ -1,5 +1,5 @@
-// `fennelladder front`: runs one node on the users' platform until SIGTERM.
-// Its addresses come from the settings file that the platform places.
+// `fennelladder front`: runs one node on the users' platform until SIGTERM or
+// SIGINT. Its addresses and limits come from the platform's settings file.
 
 #include "command.hpp"
 #include "commands.hpp"
@@ -22,40 +22,42 @@
 
 namespace {
 
-settings::settings declare()
+settings::settings declare_flags()
 {
-    settings::settings wanted(
+    settings::settings flags(
         "front", "Runs one node on the users' platform until SIGTERM or "
-                 "SIGINT, then leaves in order. Addresses and limits come "
+                 "SIGINT, then drains and stops. Addresses and limits come "
                  "from the platform's settings file.");
-    wanted.text("settings-file", "",
-                "the platform's file; default: as the platform says");
-    wanted.number({.name = "metrics-port",
-                   .fallback = 0,
-                   .low = 0,
-                   .high = 65535,
-                   .unit = "port",
-                   .help = "for GET /metrics at the host's address; 0: none"});
-    wanted.milliseconds("entry-validity", 2000,
-                        "how long callers may keep an entry answer");
-    wanted.text("decide", "",
-                "how the node decides, as name=value separated by commas; "
-                "\"list\" prints all names with their values");
-    return wanted;
+    flags.text("settings-file", "",
+               "path of the platform's settings file; default: the platform's");
+    flags.number(
+        {.name = "metrics-port",
+         .fallback = 0,
+         .low = 0,
+         .high = 65535,
+         .unit = "port",
+         .help = "port of GET /metrics at the host's address; 0: none"});
+    flags.milliseconds("entry-validity", 2000,
+                       "how long callers may cache an entry answer");
+    flags.text("decide", "",
+               "decision parameters, as name=value separated by commas; "
+               "\"list\" prints all names with their values");
+    return flags;
 }
 
-/// Reads --decide; false, with the reason on standard error, if it is wrong.
-bool read_decisions(const std::string& text, edge::decision_options& out)
+/// Parses the value of --decide into `out`. Prints every error to standard
+/// error and returns false if there is one.
+bool parse_decisions(const std::string& text, edge::decision_options& out)
 {
     std::istringstream all(text);
-    bool fine = true;
+    bool valid = true;
     for (std::string one; std::getline(all, one, ',');) {
         const auto ok = edge::set_decision(out, one);
         if (!ok)
             std::cerr << "--decide: " << ok.error().message << '\n';
-        fine = fine && ok;
+        valid = valid && ok;
     }
-    return fine;
+    return valid;
 }
 
 std::string timestamp()
@@ -74,9 +76,9 @@
     return buf;
 }
 
-/// Sends log lines through `out`, with their time in front.
-void log_through(telemetry::line_writer& out, const clock& time,
-                 const std::string& host)
+/// Writes log lines to `out`, with the time and the host at the front.
+void set_log_output(telemetry::line_writer& out, const clock& time,
+                    const std::string& host)
 {
     telemetry::configure_log({.json = true});
     telemetry::set_log_sink(
@@ -88,10 +90,11 @@
         });
 }
 
-/// An exception that leaves a coroutine ends the process, which cuts every
-/// request under way; without a line in the log that looks like a power cut.
-int run_to_the_end(edge::asio::io_context& io, telemetry::line_writer& log,
-                   const clock& time)
+/// Runs `io` until the node stops. An exception that escapes a coroutine ends
+/// the process and cuts off every request in progress; it is logged, because
+/// without a log line the exit looks like a power failure.
+int run_until_stopped(edge::asio::io_context& io, telemetry::line_writer& log,
+                      const clock& time)
 {
     try {
         io.run();
@@ -108,19 +111,19 @@
 
 int run_front(int argc, char** argv)
 {
-    settings::settings wanted = declare();
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags = declare_flags();
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
     edge::edge_node_options options;
-    if (wanted.text_of("decide") == "list") {
+    if (flags.text_of("decide") == "list") {
         for (const std::string& it : edge::list_decisions(options.decide))
             std::cout << it << '\n';
         return exit_success;
     }
-    if (!read_decisions(wanted.text_of("decide"), options.decide))
+    if (!parse_decisions(flags.text_of("decide"), options.decide))
         return exit_bad_input;
-    std::string path = wanted.text_of("settings-file");
+    std::string path = flags.text_of("settings-file");
     if (path.empty())
         path = adapter::host_settings_path();
     std::ifstream file(path);
@@ -135,17 +138,17 @@
         std::cerr << read.error().to_text();
         return exit_bad_input;
     }
-    // A caller or target that closes while it is written to must not end the
-    // process.
+    // A write to a connection that a caller or target has closed must not end
+    // the process.
     std::signal(SIGPIPE, SIG_IGN);
     const system_clock time;
     telemetry::line_writer log(STDOUT_FILENO, {});
-    log_through(log, time, read->host.str());
+    set_log_output(log, time, read->host.str());
     telemetry::write_crash_line(STDOUT_FILENO, read->host.str());
     options.settings_path = path;
     options.settings_text = text.str();
-    options.entry_validity = wanted.duration_of("entry-validity");
-    if (const auto port = wanted.number_of("metrics-port"); port != 0)
+    options.entry_validity = flags.duration_of("entry-validity");
+    if (const auto port = flags.number_of("metrics-port"); port != 0)
         options.metrics_address = read->ip + ":" + std::to_string(port);
     edge::asio::io_context io(1);
     edge::edge_node node(io, time, std::move(*read), options, log);
@@ -153,7 +156,7 @@
         std::cerr << "fennelladder front: " << ok.error().message << '\n';
         return exit_failure;
     }
-    return run_to_the_end(io, log, time);
+    return run_until_stopped(io, log, time);
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/command_report.cpp
+++ b/apps/fennelladder/command_report.cpp
@@ -26,7 +26,7 @@
 
 namespace {
 
-constexpr http::deadlines node_deadlines{
+constexpr http::deadlines metrics_deadlines{
     .connect = seconds(1), .first_byte = seconds(3), .total = seconds(10)};
 
 std::optional<telemetry::burn_snapshot>
@@ -45,7 +45,7 @@
     }
     report::history_burn burn;
     std::string line;
-    bool good = true;
+    bool valid = true;
     for (std::size_t n = 1; std::getline(in, line); ++n) {
         const auto it = history::parse_event(line);
         if (it)
@@ -53,16 +53,17 @@
         else
             std::cerr << path << " line " << n << ": " << it.error().message
                       << '\n';
-        good &= it.has_value();
+        valid &= it.has_value();
     }
-    if (!good)
+    if (!valid)
         return std::nullopt;
     return burn.finish(manifest
                            ? manifest::service_levels_of(manifest->objectives)
                            : report::objectives_of_kinds(burn.kinds()));
 }
 
-/// The sum over nodes. A node that doesn't answer is told and left out.
+/// Sums the metrics of all nodes. A node that doesn't answer is reported and
+/// skipped; returns nothing if none answers.
 std::optional<telemetry::burn_snapshot> read_nodes(const std::string& list)
 {
     http::client connections;
@@ -71,7 +72,7 @@
     for (const std::string& node : split_list(list)) {
         http::request ask;
         ask.url = "http://" + node + "/metrics";
-        const auto page = connections.fetch(ask, node_deadlines);
+        const auto page = connections.fetch(ask, metrics_deadlines);
         if (!page || page->status != 200) {
             std::cerr << node << ": no metrics: "
                       << (page ? "status " + std::to_string(page->status)
@@ -105,85 +106,90 @@
 
 int run_report_burn(int argc, char** argv)
 {
-    settings::settings wanted(
-        "burn", "Service-level burn by objective, caller kind and team.");
-    wanted.text("nodes", "",
-                "addresses of nodes, IP:PORT by comma, whose /metrics are "
-                "added up");
-    wanted.text("history", "", "recorded history to judge in place of nodes");
-    wanted.text("manifest", "",
-                "manifest whose objectives a history is judged by; without it "
-                "99% whole and once");
-    wanted.choice("format", {"table", "json", "html"}, "of the report");
-    wanted.number({.name = "teams",
-                   .fallback = 20,
-                   .low = 0,
-                   .high = 100'000,
-                   .unit = "teams",
-                   .help = "most teams listed"});
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags(
+        "burn",
+        "Burn rate of service-level objectives, by objective, caller kind and "
+        "team.");
+    flags.text("nodes", "",
+               "IP:PORT of nodes, separated by commas, whose /metrics are "
+               "summed");
+    flags.text("history", "", "recorded history to evaluate instead of nodes");
+    flags.text("manifest", "",
+               "manifest with the objectives for a history; without it: 99% "
+               "of answers whole and once");
+    flags.choice("format", {"table", "json", "html"}, "format of the report");
+    flags.number({.name = "teams",
+                  .fallback = 20,
+                  .low = 0,
+                  .high = 100'000,
+                  .unit = "teams",
+                  .help = "maximum number of teams listed"});
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    const std::string& nodes = wanted.text_of("nodes");
-    const std::string& history = wanted.text_of("history");
+    const std::string& nodes = flags.text_of("nodes");
+    const std::string& history = flags.text_of("history");
     if (nodes.empty() == history.empty()) {
-        std::cerr << "report burn: give either --nodes or --history\n";
+        std::cerr << "report burn: exactly one of --nodes and --history is "
+                     "required\n";
         return exit_bad_input;
     }
     const auto seen = history.empty()
                           ? read_nodes(nodes)
-                          : read_history(history, wanted.text_of("manifest"));
+                          : read_history(history, flags.text_of("manifest"));
     if (!seen)
         return history.empty() ? exit_failure : exit_bad_input;
-    const auto limit = std::size_t(wanted.number_of("teams"));
+    const auto limit = std::size_t(flags.number_of("teams"));
     return print(telemetry::make_report(*seen, {.team_limit = limit}),
-                 wanted.text_of("format"));
+                 flags.text_of("format"));
 }
 
 int run_report_budgets(int argc, char** argv)
 {
-    settings::settings wanted(
-        "budgets", "Prepaid, spent, free and stranded tokens, by the books.");
-    wanted.text("platform", "http://127.0.0.1:7000",
-                "URL of the platform's object API");
-    wanted.text("team", "", "only this team; empty: all");
-    wanted.number({.name = "limit",
-                   .fallback = 100,
-                   .low = 0,
-                   .high = 1'000'000,
-                   .unit = "budgets",
-                   .help = "most budgets listed; sums count all"});
-    wanted.choice("format", {"text", "json"}, "of the report");
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags(
+        "budgets", "Prepaid, spent, free and stranded tokens of budgets.");
+    flags.text("platform", "http://127.0.0.1:7000",
+               "URL of the platform's object API");
+    flags.text("team", "", "team to report; empty: all");
+    flags.number({.name = "limit",
+                  .fallback = 100,
+                  .low = 0,
+                  .high = 1'000'000,
+                  .unit = "budgets",
+                  .help = "maximum number of budgets listed; sums cover all"});
+    flags.choice("format", {"text", "json"}, "format of the report");
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
     http::client connections;
     platform::platform_client store(connections,
-                                    {.url = wanted.text_of("platform")});
+                                    {.url = flags.text_of("platform")});
     const auto layout = journal::find_layout(store);
     if (!layout) {
-        std::cerr << "report budgets: the journal's layout: "
+        std::cerr << "report budgets: reading the journal's layout: "
                   << to_string(layout.error().code) << ": "
                   << layout.error().message << '\n';
         return exit_failure;
     }
     budget::budget_report report(
-        {.team = team_id(wanted.text_of("team")),
-         .limit = std::size_t(wanted.number_of("limit"))});
-    const auto done = read_books(store, *layout,
-                                 [&](const auto& books) { report.add(books); });
-    std::cout << (wanted.text_of("format") == "json" ? report.to_json() + "\n"
-                                                     : report.to_text());
-    // Sums without a shard's part are no sums: said, and no success.
-    for (const std::string& it : done.failures)
+        {.team = team_id(flags.text_of("team")),
+         .limit = std::size_t(flags.number_of("limit"))});
+    const auto summary = read_books(
+        store, *layout, [&](const auto& books) { report.add(books); });
+    std::cout << (flags.text_of("format") == "json" ? report.to_json() + "\n"
+                                                    : report.to_text());
+    // Sums that lack a shard are wrong: report each one and fail.
+    for (const std::string& it : summary.failures)
         std::cerr << "report budgets: not counted: " << it << '\n';
-    return std::cout.flush() && done.complete() ? exit_success : exit_failure;
+    return std::cout.flush() && summary.complete() ? exit_success
+                                                   : exit_failure;
 }
 
-// One line each, sorted by name.
+// --help lists the reports in this order.
 constexpr auto reports = std::to_array<command>({
-    {"budgets", "prepaid, spent, free and stranded", run_report_budgets},
-    {"burn", "service-level burn, from nodes or a history", run_report_burn},
+    {"budgets", "prepaid, spent, free and stranded tokens", run_report_budgets},
+    {"burn", "service-level burn rate, from nodes or a history",
+     run_report_burn},
 });
 
 } // namespace
--- a/apps/fennelladder/command_status.cpp
+++ b/apps/fennelladder/command_status.cpp
@@ -1,9 +1,9 @@
-// `fennelladder status`: whether the fleet is at the accepted generation, and
-// how nodes, targets, budgets and platform are.
+// `fennelladder status`: shows whether the fleet is at the accepted generation,
+// and the state of nodes, targets, budgets and platform.
 //
-// Looks from outside, with calls of its own to platform and targets; asks no
-// node, so that it works when none answers. Targets are asked by a few threads
-// that take the next one off a shared counter and write to a row of their own.
+// Queries platform and targets directly and no node, so that it works when no
+// node answers. Targets are queried by a few threads, each of which takes the
+// next index from a shared counter and writes only to the row of that index.
 
 #include "books_reader.hpp"
 #include "command.hpp"
@@ -31,11 +31,12 @@
 
 using json = nlohmann::ordered_json;
 
-constexpr std::size_t asking_threads = 16;
-constexpr duration target_patience = seconds(1);
+constexpr std::size_t query_threads = 16;
+constexpr duration target_timeout = seconds(1);
 
-/// Passes calls on and keeps their number, failures and latencies. Not thread
-/// safe, unlike what it stands in front of.
+/// Forwards calls to another store and records their number, failures and
+/// latencies. Not thread safe, even if the other store is. Does not measure
+/// watch(), which waits for changes.
 class measured_store final : public platform::object_store
 {
 public:
@@ -76,16 +77,16 @@
         return inner_.watch(prefix, revision, wait);
     }
 
-    std::size_t calls() const { return took_.size(); }
+    std::size_t calls() const { return latencies_.size(); }
     std::size_t failures() const { return failures_; }
     platform::platform_state state() const { return health_.state(); }
 
-    /// Latency that `share` of the calls stayed at or below.
+    /// The latency at quantile `share` (0 to 1) of all calls; 0 without calls.
     duration latency(double share) const
     {
-        if (took_.empty())
+        if (latencies_.empty())
             return duration(0);
-        auto sorted = took_;
+        auto sorted = latencies_;
         std::ranges::sort(sorted);
         const auto last = static_cast<double>(sorted.size() - 1);
         return sorted[static_cast<std::size_t>(share * last)];
@@ -101,7 +102,7 @@
         const bool answered =
             made || (made.error().code != error_code::unavailable &&
                      made.error().code != error_code::ambiguous);
-        took_.push_back(now - began);
+        latencies_.push_back(now - began);
         failures_ += answered ? 0 : 1;
         health_.on_call(answered, now - began, now);
         return made;
@@ -110,7 +111,7 @@
     platform::object_store& inner_;
     const clock& time_;
     platform::platform_health health_;
-    std::vector<duration> took_;
+    std::vector<duration> latencies_;
     std::size_t failures_ = 0;
 };
 
@@ -120,98 +121,99 @@
     result<target::load_status> load;
 };
 
-/// All that is shown. An empty optional: not looked at, or not readable, in
-/// which case `trouble` says why.
-struct fleet_view
+/// Everything that is shown. An optional is empty if its part was skipped or
+/// couldn't be read; in the latter case `trouble` says why.
+struct fleet_status
 {
     std::optional<manifest::root> accepted;
     std::optional<manifest::rollout> nodes;
     std::optional<std::vector<target_row>> targets;
     std::optional<budget::budget_sums> budgets;
-    books_read books;
+    books_read_result books;
     std::vector<std::string> trouble;
     instant now;
 
-    bool well() const { return accepted && nodes && nodes->complete(); }
+    bool healthy() const { return accepted && nodes && nodes->complete(); }
 };
 
-void note(fleet_view& seen, const std::string& what, const error& why)
+void add_trouble(fleet_status& view, const std::string& what, const error& why)
 {
-    seen.trouble.push_back(what + ": " + std::string(to_string(why.code)) +
+    view.trouble.push_back(what + ": " + std::string(to_string(why.code)) +
                            ": " + why.message);
 }
 
-std::vector<target_row> ask_targets(std::vector<manifest::target> all,
-                                    http::client& connections)
+std::vector<target_row> query_targets(std::vector<manifest::target> all,
+                                      http::client& connections)
 {
     std::vector<target_row> rows;
     rows.reserve(all.size());
     for (manifest::target& it : all)
         rows.push_back({std::move(it), target::load_status()});
     std::atomic<std::size_t> next{0};
-    const auto ask = [&] {
+    const auto query = [&] {
         for (std::size_t n = next++; n < rows.size(); n = next++) {
             target::http_target_options with;
             with.url = "http://" + rows[n].target.address.str();
-            with.control.first_byte = target_patience;
+            with.control.first_byte = target_timeout;
             target::http_target_client client(connections, with);
             rows[n].load = client.load();
         }
     };
     std::vector<std::thread> threads;
-    for (std::size_t n = 0; n < std::min(asking_threads, rows.size()); ++n)
-        threads.emplace_back(ask);
+    for (std::size_t n = 0; n < std::min(query_threads, rows.size()); ++n)
+        threads.emplace_back(query);
     for (std::thread& it : threads)
         it.join();
     return rows;
 }
 
-void look_at_targets(fleet_view& seen, platform::object_store& store,
-                     http::client& connections)
+void read_target_status(fleet_status& view, platform::object_store& store,
+                        http::client& connections)
 {
-    const auto names = read_directory(store, *seen.accepted);
+    const auto names = read_directory(store, *view.accepted);
     if (!names)
-        return note(seen, "manifest", names.error());
+        return add_trouble(view, "manifest", names.error());
     auto all = read_targets(store, *names);
     if (!all)
-        return note(seen, "targets", all.error());
-    seen.targets = ask_targets(std::move(*all), connections);
+        return add_trouble(view, "targets", all.error());
+    view.targets = query_targets(std::move(*all), connections);
 }
 
-void look_at_budgets(fleet_view& seen, platform::object_store& store)
+void read_budget_status(fleet_status& view, platform::object_store& store)
 {
     const auto layout = journal::find_layout(store);
     if (!layout)
-        return note(seen, "journal's layout", layout.error());
+        return add_trouble(view, "journal layout", layout.error());
     budget::budget_report report({.limit = 0});
-    seen.books = read_books(store, *layout,
+    view.books = read_books(store, *layout,
                             [&](const auto& books) { report.add(books); });
-    seen.budgets = report.total();
-    for (const std::string& it : seen.books.failures)
-        seen.trouble.push_back("budgets without " + it);
+    view.budgets = report.total();
+    for (const std::string& it : view.books.failures)
+        view.trouble.push_back("budgets without " + it);
 }
 
-fleet_view look(const settings::settings& given, platform::object_store& store,
-                http::client& connections, const clock& time)
+fleet_status read_fleet_status(const settings::settings& flags,
+                               platform::object_store& store,
+                               http::client& connections, const clock& time)
 {
-    fleet_view seen;
+    fleet_status view;
     if (auto accepted = read_root(store))
-        seen.accepted = std::move(*accepted);
+        view.accepted = std::move(*accepted);
     else
-        note(seen, "accepted configuration", accepted.error());
+        add_trouble(view, "accepted configuration", accepted.error());
     const auto nodes = manifest::read_statuses(store);
-    seen.now = time.now();
+    view.now = time.now();
     if (nodes)
-        seen.nodes = manifest::rollout_of(
-            *nodes, seen.accepted ? seen.accepted->change.number : generation(),
-            seen.now);
+        view.nodes = manifest::rollout_of(
+            *nodes, view.accepted ? view.accepted->change.number : generation(),
+            view.now);
     else
-        note(seen, "nodes", nodes.error());
-    if (seen.accepted && !given.flag_of("skip-targets"))
-        look_at_targets(seen, store, connections);
-    if (!given.flag_of("skip-budgets"))
-        look_at_budgets(seen, store);
-    return seen;
+        add_trouble(view, "nodes", nodes.error());
+    if (view.accepted && !flags.flag_of("skip-targets"))
+        read_target_status(view, store, connections);
+    if (!flags.flag_of("skip-budgets"))
+        read_budget_status(view, store);
+    return view;
 }
 
 std::string_view state_of(const target_row& it)
@@ -239,31 +241,31 @@
     return 1000 * to_seconds(length);
 }
 
-json to_json(const fleet_view& seen)
+json to_json(const fleet_status& view)
 {
     json out;
-    if (seen.accepted) {
-        const auto& it = seen.accepted->change;
+    if (view.accepted) {
+        const auto& it = view.accepted->change;
         out["accepted"] = {{"generation", it.number.value()},
                            {"who", it.who},
                            {"apply_id", it.apply.str()},
-                           {"hash", seen.accepted->hash().str()},
-                           {"age_s", to_seconds(seen.now - it.at)}};
+                           {"hash", view.accepted->hash().str()},
+                           {"age_s", to_seconds(view.now - it.at)}};
     }
-    if (seen.nodes) {
+    if (view.nodes) {
         out["nodes"] = json::array();
-        for (const auto& it : seen.nodes->rows)
+        for (const auto& it : view.nodes->rows)
             out["nodes"].push_back(
                 {{"host", it.node.host.str()},
                  {"incarnation", it.node.incarnation.str()},
                  {"generation", it.node.in_force.value()},
                  {"takes_work", it.node.takes_work},
-                 {"age_s", to_seconds(seen.now - it.node.at)},
+                 {"age_s", to_seconds(view.now - it.node.at)},
                  {"state", state_of(it)}});
     }
-    if (seen.targets) {
+    if (view.targets) {
         out["targets"] = json::array();
-        for (const target_row& it : *seen.targets) {
+        for (const target_row& it : *view.targets) {
             json one = {{"target", it.target.id.str()},
                         {"address", it.target.address.str()},
                         {"state", state_of(it)}};
@@ -274,8 +276,8 @@
             out["targets"].push_back(std::move(one));
         }
     }
-    if (seen.budgets) {
-        const budget::budget_sums& it = *seen.budgets;
+    if (view.budgets) {
+        const budget::budget_sums& it = *view.budgets;
         out["budgets"] = {{"prepaid", it.prepaid.count()},
                           {"spent", it.spent.count()},
                           {"free", it.free.count()},
@@ -283,11 +285,11 @@
                           {"stranded", it.stranded.count()},
                           {"uncollected", it.uncollected.count()},
                           {"released", it.released.count()},
-                          {"shards", seen.books.shards},
-                          {"shards_read", seen.books.read}};
+                          {"shards", view.books.shards},
+                          {"shards_read", view.books.read}};
     }
-    out["trouble"] = seen.trouble;
-    out["well"] = seen.well();
+    out["trouble"] = view.trouble;
+    out["well"] = view.healthy();
     return out;
 }
 
@@ -319,21 +321,21 @@
     }
 }
 
-void print_text(const fleet_view& seen, const measured_store& store)
+void print_text(const fleet_status& view, const measured_store& store)
 {
-    if (seen.accepted) {
-        const auto& it = seen.accepted->change;
+    if (view.accepted) {
+        const auto& it = view.accepted->change;
         std::printf("accepted: generation %llu by %s %.0f s ago, apply id %s\n",
                     static_cast<unsigned long long>(it.number.value()),
-                    it.who.c_str(), to_seconds(seen.now - it.at),
+                    it.who.c_str(), to_seconds(view.now - it.at),
                     it.apply.str().c_str());
     }
-    if (seen.nodes)
-        print_nodes(*seen.nodes, seen.now);
-    if (seen.targets)
-        print_targets(*seen.targets);
-    if (seen.budgets) {
-        const budget::budget_sums& it = *seen.budgets;
+    if (view.nodes)
+        print_nodes(*view.nodes, view.now);
+    if (view.targets)
+        print_targets(*view.targets);
+    if (view.budgets) {
+        const budget::budget_sums& it = *view.budgets;
         std::printf("\nbudgets: prepaid %lld, spent %lld, free %lld, out %lld, "
                     "stranded %lld, uncollected %lld (%u of %u shards)\n",
                     static_cast<long long>(it.prepaid.count()),
@@ -342,14 +344,14 @@
                     static_cast<long long>(it.out.count()),
                     static_cast<long long>(it.stranded.count()),
                     static_cast<long long>(it.uncollected.count()),
-                    seen.books.read, seen.books.shards);
+                    view.books.read, view.books.shards);
     }
     std::printf("\nplatform: %s; %zu calls, %zu without an answer, p50 %.1f "
                 "ms, p95 %.1f ms\n",
                 to_string(store.state()).data(), store.calls(),
                 store.failures(), milliseconds_of(store.latency(0.50)),
                 milliseconds_of(store.latency(0.95)));
-    for (const std::string& it : seen.trouble)
+    for (const std::string& it : view.trouble)
         std::printf("trouble: %s\n", it.c_str());
 }
 
@@ -357,27 +359,28 @@
 
 int run_status(int argc, char** argv)
 {
-    settings::settings wanted(
+    settings::settings flags(
         "status",
-        "Accepted configuration, nodes, targets, budgets and platform. Exits "
-        "with 0 when every node that isn't stale is at the accepted "
-        "generation.");
-    wanted.text("platform", "http://127.0.0.1:7000",
-                "URL of the platform's object API");
-    wanted.choice("format", {"text", "json"}, "of what is shown");
-    wanted.flag("skip-targets", "don't ask the targets");
-    wanted.flag("skip-budgets", "don't read the books");
-    const auto parsed = wanted.parse(argc, argv);
+        "Shows the accepted configuration, nodes, targets, budgets and "
+        "platform. Exits with 0 if every node that isn't stale is at the "
+        "accepted generation.");
+    flags.text("platform", "http://127.0.0.1:7000",
+               "URL of the platform's object API");
+    flags.choice("format", {"text", "json"}, "format of the output");
+    flags.flag("skip-targets", "don't query the targets");
+    flags.flag("skip-budgets", "don't read the budget books");
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
     const system_clock time;
     http::client connections;
     platform::platform_client client(connections,
-                                     {.url = wanted.text_of("platform")});
+                                     {.url = flags.text_of("platform")});
     measured_store store(client, time);
-    const fleet_view seen = look(wanted, store, connections, time);
-    if (wanted.text_of("format") == "json") {
-        json out = to_json(seen);
+    const fleet_status view =
+        read_fleet_status(flags, store, connections, time);
+    if (flags.text_of("format") == "json") {
+        json out = to_json(view);
         out["platform"] = {{"state", to_string(store.state())},
                            {"calls", store.calls()},
                            {"unanswered", store.failures()},
@@ -385,9 +388,9 @@
                            {"p95_ms", milliseconds_of(store.latency(0.95))}};
         std::cout << out.dump(1) << '\n';
     } else {
-        print_text(seen, store);
+        print_text(view, store);
     }
-    return seen.well() ? exit_success : exit_failure;
+    return view.healthy() ? exit_success : exit_failure;
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/command_table.cpp
+++ b/apps/fennelladder/command_table.cpp
@@ -15,9 +15,9 @@
 {
     out << "usage: " << program << " COMMAND [--help] [options]\n\n";
     for (const command& it : table) {
-        std::string left = "  " + std::string(it.name);
-        left.resize(std::max(left.size() + 2, summary_column), ' ');
-        out << left << it.summary << '\n';
+        std::string line = "  " + std::string(it.name);
+        line.resize(std::max(line.size() + 2, summary_column), ' ');
+        out << line << it.summary << '\n';
     }
 }
 
@@ -34,7 +34,7 @@
     const auto it = std::ranges::find(table, name, &command::name);
     if (it != table.end())
         return it->run(argc - 1, argv + 1);
-    std::cerr << program << ": no command '" << name << "'\n";
+    std::cerr << program << ": unknown command '" << name << "'\n";
     print_table(std::cerr, program, table);
     return exit_bad_input;
 }
--- a/apps/fennelladder/command_table.hpp
+++ b/apps/fennelladder/command_table.hpp
@@ -1,4 +1,5 @@
-// Picks a subcommand by name, for the top level and for `bench`.
+// Dispatches to a subcommand by name, at the top level and for the commands
+// that have subcommands of their own (`bench`, `report`, `standin`).
 
 #ifndef FENNELLADDER_APPS_COMMAND_TABLE_HPP
 #define FENNELLADDER_APPS_COMMAND_TABLE_HPP
@@ -10,8 +11,9 @@
 
 namespace fennelladder::app {
 
-/// Runs the command that argv[1] names; without one, or with --help, prints
-/// the table. `program` is what stands before the name in messages.
+/// Runs the command named by argv[1] and returns its exit code. Prints the
+/// table if argv[1] is missing, --help or -h. `program` precedes the command's
+/// name in messages.
 int run_from_table(std::string_view program, std::span<const command> table,
                    int argc, char** argv);
 
--- a/apps/fennelladder/command_topup.cpp
+++ b/apps/fennelladder/command_topup.cpp
@@ -1,4 +1,4 @@
-// `fennelladder topup`: prepays tokens, once by id.
+// `fennelladder topup`: adds prepaid tokens to a budget, idempotent by id.
 
 #include "books_reader.hpp"
 #include "command.hpp"
@@ -16,124 +16,125 @@
 
 namespace {
 
-std::string drawn_name()
+std::string random_name()
 {
     std::random_device entropy;
     const std::uint64_t high = entropy();
     return to_hex(high << 32U | entropy());
 }
 
-settings::settings declare_settings()
+settings::settings declare_flags()
 {
-    settings::settings wanted(
+    settings::settings flags(
         "topup",
-        "Prepays tokens of a budget, once by id. Nodes notice without being "
-        "told: one that runs short asks the books again, within seconds.");
-    wanted.text("platform", "http://127.0.0.1:7000",
-                "URL of the platform's object API");
-    wanted.text("team", "", "customer whose budget it is");
-    wanted.text("budget", "", "budget, as named in the manifest");
-    wanted.number({.name = "tokens",
-                   .fallback = 0,
-                   .low = 0,
-                   .high = budget::max_amount.count(),
-                   .unit = "tokens",
-                   .help = "how many to add; at least 1"});
-    wanted.text("id", "",
-                "id of the payment; the same one again counts once (of a "
-                "budget's newest 256). Without it one is drawn and shown");
-    wanted.flag("unlisted", "also a budget that the accepted manifest doesn't "
-                            "name");
-    return wanted;
+        "Adds prepaid tokens to a budget, idempotent by id. Nodes need not be "
+        "told: one that runs short reads the books again within seconds.");
+    flags.text("platform", "http://127.0.0.1:7000",
+               "URL of the platform's object API");
+    flags.text("team", "", "team that owns the budget");
+    flags.text("budget", "", "the budget's id in the manifest");
+    flags.number({.name = "tokens",
+                  .fallback = 0,
+                  .low = 0,
+                  .high = budget::max_amount.count(),
+                  .unit = "tokens",
+                  .help = "tokens to add; at least 1"});
+    flags.text("id", "",
+               "id of the payment; repeated use counts once (among a budget's "
+               "newest 256 ids). Without it a random one is used and printed");
+    flags.flag("unlisted", "allow a budget that isn't in the accepted "
+                           "manifest");
+    return flags;
 }
 
-bool check(const settings::settings& given)
+bool check_flags(const settings::settings& flags)
 {
-    bool good = true;
+    bool valid = true;
     for (const char* name : {"team", "budget"}) {
-        if (given.text_of(name).empty()) {
+        if (flags.text_of(name).empty()) {
             std::cerr << "topup: --" << name << " is missing\n";
-            good = false;
+            valid = false;
         }
     }
-    if (given.number_of("tokens") < 1) {
+    if (flags.number_of("tokens") < 1) {
         std::cerr << "topup: --tokens is missing or below 1\n";
-        good = false;
+        valid = false;
     }
-    return good;
+    return valid;
 }
 
-int report_failure(const error& why, const char* doing)
+int report_failure(const error& why, const char* operation)
 {
-    std::cerr << "topup: " << doing << ": " << to_string(why.code) << ": "
+    std::cerr << "topup: " << operation << ": " << to_string(why.code) << ": "
               << why.message << '\n';
     return exit_failure;
 }
 
-// Guards against a slip of the pen: books open a budget of any name, and the
-// tokens would lie where no request draws on them.
-int check_listed(platform::object_store& store, const budget::topup& wish)
+// Guards against a mistyped id: the books create a budget under any id, and no
+// request would ever draw on its tokens.
+int check_listed(platform::object_store& store, const budget::topup& topup)
 {
-    const auto listed = read_budget(store, wish.budget);
+    const auto listed = read_budget(store, topup.budget);
     if (!listed)
         return report_failure(listed.error(), "reading the manifest");
-    if (*listed && (*listed)->team == wish.team)
+    if (*listed && (*listed)->team == topup.team)
         return exit_success;
-    std::cerr << "topup: the accepted manifest has no budget " << wish.budget
-              << " of team " << wish.team << '\n';
+    std::cerr << "topup: the accepted manifest has no budget " << topup.budget
+              << " of team " << topup.team << '\n';
     return exit_bad_input;
 }
 
-int print(const budget::outcome& made, const budget::topup& wish)
+int print(const budget::outcome& made, const budget::topup& topup)
 {
     std::cout << to_string(made.what) << ": ";
     switch (made.what) {
     case budget::verdict::applied:
-        std::cout << wish.amount.count() << " tokens added to " << wish.budget
-                  << ", id " << wish.id << "; free " << made.free.count()
+        std::cout << topup.amount.count() << " tokens added to " << topup.budget
+                  << ", id " << topup.id << "; free " << made.free.count()
                   << '\n';
         return exit_success;
     case budget::verdict::duplicate:
-        std::cout << "id " << wish.id << " was booked earlier; nothing added; "
+        std::cout << "id " << topup.id << " is already booked; nothing added; "
                   << "free " << made.free.count() << '\n';
         return exit_success;
     case budget::verdict::refused:
-        std::cout << "the budget is another team's, or too large\n";
+        std::cout << "the budget belongs to another team or would exceed the "
+                     "largest amount\n";
         return exit_failure;
     default:
-        std::cout << "the books can't take these names or this amount\n";
+        std::cout << "the team, budget, id or amount is invalid\n";
         return exit_bad_input;
     }
 }
 
-int top_up(const settings::settings& given)
+int top_up(const settings::settings& flags)
 {
     http::client connections;
     platform::platform_client store(connections,
-                                    {.url = given.text_of("platform")});
-    const std::string& id = given.text_of("id");
-    const budget::topup wish{.team = team_id(given.text_of("team")),
-                             .budget = budget_id(given.text_of("budget")),
-                             .id = topup_id(id.empty() ? drawn_name() : id),
-                             .amount = tokens(given.number_of("tokens"))};
+                                    {.url = flags.text_of("platform")});
+    const std::string& id = flags.text_of("id");
+    const budget::topup topup{.team = team_id(flags.text_of("team")),
+                              .budget = budget_id(flags.text_of("budget")),
+                              .id = topup_id(id.empty() ? random_name() : id),
+                              .amount = tokens(flags.number_of("tokens"))};
     if (id.empty())
-        std::cout << "id " << wish.id << std::endl;
-    if (!given.flag_of("unlisted")) {
-        if (const int code = check_listed(store, wish); code != exit_success)
+        std::cout << "id " << topup.id << std::endl;
+    if (!flags.flag_of("unlisted")) {
+        if (const int code = check_listed(store, topup); code != exit_success)
             return code;
     }
     const auto layout = journal::find_layout(store);
     if (!layout)
         return report_failure(layout.error(), "reading the journal's layout");
-    const std::string name = drawn_name();
+    const std::string name = random_name();
     const auto made =
-        book_topup(store, *layout, wish, incarnation_id("topup." + name),
+        book_topup(store, *layout, topup, incarnation_id("topup." + name),
                    {.seed = std::stoull(name, nullptr, 16)});
     if (made)
-        return print(*made, wish);
+        return print(*made, topup);
     if (made.error().code == error_code::ambiguous)
-        std::cerr << "topup: it may be booked; run again with --id " << wish.id
-                  << '\n';
+        std::cerr << "topup: the top-up may be booked; run again with --id "
+                  << topup.id << '\n';
     return report_failure(made.error(), "booking");
 }
 
@@ -141,11 +142,11 @@
 
 int run_topup(int argc, char** argv)
 {
-    settings::settings wanted = declare_settings();
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags = declare_flags();
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    return check(wanted) ? top_up(wanted) : exit_bad_input;
+    return check_flags(flags) ? top_up(flags) : exit_bad_input;
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/command_validate.cpp
+++ b/apps/fennelladder/command_validate.cpp
@@ -1,4 +1,4 @@
-// `fennelladder validate FILE`: says everything that is wrong with a manifest.
+// `fennelladder validate FILE`: reports all errors in a manifest.
 
 #include "command.hpp"
 #include "commands.hpp"
@@ -18,16 +18,16 @@
     const auto manifest = load_manifest(path);
     if (!manifest)
         return exit_bad_input;
-    const auto pieces = manifest::split(*manifest, nullptr);
-    if (!pieces) {
-        std::cerr << path << ": " << pieces.error().message << '\n';
+    const auto encoded = manifest::split(*manifest, nullptr);
+    if (!encoded) {
+        std::cerr << path << ": " << encoded.error().message << '\n';
         return exit_bad_input;
     }
     std::cout << path << ": valid; " << manifest->teams.size() << " teams, "
               << manifest->budgets.size() << " budgets, "
               << manifest->targets.size() << " targets, "
-              << pieces->parts.size() << " parts, content "
-              << pieces->directory_hash << '\n';
+              << encoded->parts.size() << " parts, content "
+              << encoded->directory_hash << '\n';
     return exit_success;
 }
 
@@ -35,13 +35,13 @@
 
 int run_validate(int argc, char** argv)
 {
-    settings::settings wanted("validate",
-                              "Checks a manifest and reports all findings.");
-    wanted.positional("FILE", 1, 1, "the manifest (docs/MANIFEST.md)");
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags("validate",
+                             "Checks a manifest and reports all findings.");
+    flags.positional("FILE", 1, 1, "the manifest (docs/MANIFEST.md)");
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    return validate(wanted.positionals()[0]);
+    return validate(flags.positionals()[0]);
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/commands.hpp
+++ b/apps/fennelladder/commands.hpp
@@ -1,4 +1,4 @@
-// Every subcommand's entry point. Each is defined in command_NAME.cpp and
+// Entry points of all subcommands. Each is defined in command_NAME.cpp and
 // returns an exit code (see command.hpp). argv[0] is the subcommand's name.
 
 #ifndef FENNELLADDER_APPS_COMMANDS_HPP
--- a/apps/fennelladder/main.cpp
+++ b/apps/fennelladder/main.cpp
@@ -1,4 +1,4 @@
-// Entry point: picks the subcommand.
+// Entry point of the binary: dispatches to a subcommand.
 
 #include "command_table.hpp"
 #include "commands.hpp"
@@ -11,20 +11,22 @@
 
 namespace {
 
-// One line each, sorted by name.
+// --help lists the commands in this order.
 constexpr auto commands = std::to_array<command>({
-    {"apply", "bring a manifest into force", run_apply},
+    {"apply", "make a manifest the accepted configuration", run_apply},
     {"front", "run one node on the users' platform", run_front},
     {"serve", "run one node", run_serve},
-    {"demo", "both deployments in one process, with faults", run_demo},
-    {"bench", "measurements, each beside its baselines", run_bench},
-    {"standin", "platform, engine or service for trying out", run_standin},
-    {"explain", "what became of a request, by the nodes' logs", run_explain},
-    {"report", "reports for operators", run_report},
-    {"status", "how nodes, targets, budgets and platform are", run_status},
-    {"topup", "prepay tokens of a budget, once by id", run_topup},
-    {"validate", "check a manifest, report all findings", run_validate},
-    {"check-history", "judges the record of a run", run_check_history},
+    {"demo", "run both deployments in one process, with faults", run_demo},
+    {"bench", "benchmarks, compared with their baselines", run_bench},
+    {"standin", "run a simulated platform, engine or service", run_standin},
+    {"explain", "explain a request's outcome from the nodes' logs",
+     run_explain},
+    {"report", "print reports for operators", run_report},
+    {"status", "show the state of nodes, targets, budgets and platform",
+     run_status},
+    {"topup", "prepay tokens of a budget, idempotent by id", run_topup},
+    {"validate", "check a manifest and report all findings", run_validate},
+    {"check-history", "check the recorded history of a run", run_check_history},
 });
 
 } // namespace
--- a/apps/fennelladder/manifest_file.hpp
+++ b/apps/fennelladder/manifest_file.hpp
@@ -1,4 +1,4 @@
-// Reading a manifest from a file, for the commands that take one.
+// Loads a manifest from a file, for the commands that take one as an argument.
 
 #ifndef FENNELLADDER_APPS_MANIFEST_FILE_HPP
 #define FENNELLADDER_APPS_MANIFEST_FILE_HPP
@@ -10,8 +10,8 @@
 
 namespace fennelladder::app {
 
-/// The manifest in the file at `path`; nothing after what is wrong with the
-/// file has been printed to standard error.
+/// Parses the manifest in the file at `path`. If the file can't be read or is
+/// invalid, prints all findings to standard error and returns nothing.
 std::optional<manifest::document> load_manifest(const std::string& path);
 
 } // namespace fennelladder::app
--- a/examples/embed/main.cpp
+++ b/examples/embed/main.cpp
@@ -1,6 +1,7 @@
-// Prepaid budgets in a program of your own, by the budget and journal
-// libraries: prepays a budget, runs requests until it refuses, gives back what
-// is left and prints the books. Put your own store behind object_store.
+// Shows how a program embeds prepaid budgets with the budget and journal
+// libraries: it tops up a budget, admits requests until the budget is used up,
+// returns the remaining tokens and prints the books. A real program implements
+// platform::object_store on its own storage.
 
 #include "fennelladder/budget/books_state.hpp"
 #include "fennelladder/budget/budget_agent.hpp"
@@ -20,8 +21,8 @@
 const team_id team("spoke-and-sprocket");
 const incarnation_id self("example-1.1");
 
-/// This node keeps the budget's stock; there is no other.
-struct only_home final : home_directory
+/// Makes this node, the only one, the stock holder of every budget.
+struct single_home final : home_directory
 {
     std::vector<incarnation_id> homes_of(const budget_id&) const override
     {
@@ -29,18 +30,20 @@
     }
 };
 
-/// Puts what the agent wishes into the journal and tells it the outcomes. What
-/// can't be committed now stays queued, so `out` must outlive the log.
-void carry_out(agent_output& out, budget_agent& agent,
-               journal::group_committer& log, instant now)
+/// Submits the records that the agent requests to the journal and reports their
+/// outcomes to the agent. Records that can't be committed now stay queued with
+/// a reference to `out`, so `out` must outlive `log`.
+void commit_requests(agent_output& out, budget_agent& agent,
+                     journal::group_committer& log, instant now)
 {
     while (!out.wishes.empty()) {
         for (const book_wish& wish : std::exchange(out.wishes, {}))
             (void)log.submit(
                 record_type(wish.body), encode_record(wish.body),
                 [&, wish, now](const journal::applied_record& it) {
-                    const auto made = decode_outcome(it.reply);
-                    agent.on_outcome(wish, made ? &*made : nullptr, now, out);
+                    const auto outcome = decode_outcome(it.reply);
+                    agent.on_outcome(wish, outcome ? &*outcome : nullptr, now,
+                                     out);
                 },
                 now);
         (void)log.flush(now);
@@ -56,7 +59,7 @@
     agent_output out;
     journal::group_committer log(store, layout, shard_id(0), self,
                                  books_factory(), {}, nullptr, 1);
-    const only_home homes;
+    const single_home homes;
     budget_agent agent(self, homes,
                        [](const budget_id&) { return shard_id(0); });
     instant now = from_nanoseconds(1'000'000'000);
@@ -65,11 +68,11 @@
     (void)log.submit(record_type(paid), encode_record(paid), {}, now);
     std::int64_t answered = 0;
     for (int n = 0; n < 40; ++n, now += seconds(1)) {
-        auto got = agent.admit(workshop, tokens(500), now, out);
-        carry_out(out, agent, log, now);
-        if (!got.held) // the journal may have granted tokens meanwhile
-            got = agent.admit(workshop, tokens(500), now, out);
-        if (!got.held)
+        auto admission = agent.admit(workshop, tokens(500), now, out);
+        commit_requests(out, agent, log, now);
+        if (!admission.held) // commit_requests() may have brought a token grant
+            admission = agent.admit(workshop, tokens(500), now, out);
+        if (!admission.held)
             continue;
         const bill charge = {
             .team = team,
@@ -77,15 +80,15 @@
             .budget = workshop,
             .amount = tokens(400),
             .at = now};
-        agent.finish(std::move(*got.held), charge, now);
+        agent.finish(std::move(*admission.held), charge, now);
         ++answered;
         agent.tick(now, out);
-        carry_out(out, agent, log, now);
+        commit_requests(out, agent, log, now);
     }
     for (int n = 0; n < 100 && !agent.done(); ++n, now += seconds(1)) {
         agent.drain(now, out);
         agent.tick(now, out);
-        carry_out(out, agent, log, now);
+        commit_requests(out, agent, log, now);
     }
     budget_report report;
     const auto ok = log.read([&report](const journal::fold& it) {
@@ -93,6 +96,6 @@
     });
     std::cout << answered << " of 40 answered\n" << report.to_text();
     const budget_sums& sums = report.total();
-    const bool whole = sums.spent + sums.free == tokens(10'000);
-    return ok && whole && sums.spent == tokens(400 * answered) ? 0 : 1;
+    const bool balanced = sums.spent + sums.free == tokens(10'000);
+    return ok && balanced && sums.spent == tokens(400 * answered) ? 0 : 1;
 }
