--- a/apps/fennelladder/bench_budgets.cpp
+++ b/apps/fennelladder/bench_budgets.cpp
@@ -1,10 +1,12 @@
-// `fennelladder bench budgets`: fleets in virtual time under partitions,
-// outages and deaths, beside two baselines that see the same requests.
+// `fennelladder bench budgets`: runs fleets in virtual time under partitions,
+// outages and node failures, and compares their budgets with two baselines that
+// get the same requests.
 //
-// A scenario is a list of faults at points in time. Requests come at random
-// times (Poisson), each goes to a host of its caller's data center that is up,
-// and is put to the escrow and to both baselines. The oracle of each knows
-// what was left when one of them refused.
+// A scenario is a list of faults at points in time. Requests arrive at random
+// times (Poisson). Each goes to a running host in its caller's data
+// center and is presented to the escrow and to both baselines. An oracle for
+// each of them knows how many tokens were left when it refused a request, which
+// tells false refusals from right ones.
 
 #include "benches.hpp"
 #include "command.hpp"
@@ -48,7 +50,7 @@
     std::function<void(scenario_run&)> faults;
 };
 
-struct bench_choices
+struct bench_parameters
 {
     std::uint64_t seed = 1;
     budget::preference weight = budget::preference::false_refusal;
@@ -56,12 +58,12 @@
     duration flush{};
 };
 
-// One scenario with one fleet: the rig, the baselines and their demand.
+// Runs one scenario with one fleet: the rig, the baselines and the workload.
 class scenario_run
 {
 public:
     scenario_run(const fleet_size& size, const scenario& plan,
-                 const bench_choices& choices);
+                 const bench_parameters& parameters);
 
     fleet_rig rig;
 
@@ -73,103 +75,105 @@
     std::uint64_t requests() const { return rig.figures().requests; }
     std::uint64_t static_false() const
     {
-        return split_.figures().false_refused;
+        return static_split_.figures().false_refused;
     }
 
 private:
     static rig_options options_for(const fleet_size& size,
-                                   const bench_choices& choices);
+                                   const bench_parameters& parameters);
     void top_up(int budget, tokens amount);
-    void arrive();
+    void schedule_arrivals();
     void send(const demand_item& item);
     double per_million(std::uint64_t count) const;
     json baseline_result(const baseline& it) const;
 
     fleet_size size_;
-    scenario plan_;
-    workload demand_;
-    baseline split_;
-    baseline writes_;
+    scenario scenario_;
+    workload workload_;
+    baseline static_split_;
+    baseline write_per_request_;
     instant start_;
     int topups_ = 0;
-    std::uint64_t writes_before_ = 0;
-    std::uint64_t book_bytes_before_ = 0;
-    std::uint64_t message_bytes_before_ = 0;
+    std::uint64_t writes_at_start_ = 0;
+    std::uint64_t book_bytes_at_start_ = 0;
+    std::uint64_t message_bytes_at_start_ = 0;
 };
 
-// Time for the first joins, top-ups and stocks before requests come.
+// Time for the first joins, top-ups and stocks before requests arrive.
 constexpr duration warm_up = seconds(20);
 
-// One top-up of a quarter of what the budget began with, this often.
-constexpr duration topup_gap = seconds(10);
+// Interval of top-ups. Each adds a quarter of a budget's initial tokens.
+constexpr duration topup_interval = seconds(10);
 
 rig_options scenario_run::options_for(const fleet_size& size,
-                                      const bench_choices& choices)
+                                      const bench_parameters& parameters)
 {
     rig_options made;
     made.nodes = size.nodes;
     made.data_centers = size.data_centers;
-    made.shards = choices.shards;
-    made.flush_interval = choices.flush;
-    made.seed = choices.seed;
-    made.agent.refill = budget::policy_for(choices.weight);
+    made.shards = parameters.shards;
+    made.flush_interval = parameters.flush;
+    made.seed = parameters.seed;
+    made.agent.refill = budget::policy_for(parameters.weight);
     return made;
 }
 
 scenario_run::scenario_run(const fleet_size& size, const scenario& plan,
-                           const bench_choices& choices)
-    : rig(options_for(size, choices)), size_(size), plan_(plan),
-      demand_({.budgets = size.budgets,
-               .nodes = size.nodes,
-               .data_centers = size.data_centers,
-               .rate = size.rate,
-               .length = plan.length},
-              choices.seed + 1),
-      split_(baseline::kind::static_split, size.nodes, size.budgets),
-      writes_(baseline::kind::write_per_request, size.nodes, size.budgets)
+                           const bench_parameters& parameters)
+    : rig(options_for(size, parameters)), size_(size), scenario_(plan),
+      workload_({.budgets = size.budgets,
+                 .nodes = size.nodes,
+                 .data_centers = size.data_centers,
+                 .rate = size.rate,
+                 .length = plan.length},
+                parameters.seed + 1),
+      static_split_(baseline::kind::static_split, size.nodes, size.budgets),
+      write_per_request_(baseline::kind::write_per_request, size.nodes,
+                         size.budgets)
 {}
 
 void scenario_run::top_up(int budget, tokens amount)
 {
     rig.top_up(budget, amount, "topup-" + std::to_string(++topups_));
-    split_.top_up(budget, amount);
-    writes_.top_up(budget, amount);
+    static_split_.top_up(budget, amount);
+    write_per_request_.top_up(budget, amount);
 }
 
 void scenario_run::run()
 {
     for (int n = 0; n < size_.budgets; ++n)
-        top_up(n, demand_.prepaid(n));
+        top_up(n, workload_.prepaid(n));
     rig.run_for(warm_up);
     start_ = rig.now();
-    writes_before_ = rig.books().writes();
-    book_bytes_before_ = rig.books().bytes();
-    message_bytes_before_ = rig.figures().message_bytes;
-    plan_.faults(*this);
-    for (duration it = topup_gap; it < plan_.length; it += topup_gap) {
+    writes_at_start_ = rig.books().writes();
+    book_bytes_at_start_ = rig.books().bytes();
+    message_bytes_at_start_ = rig.figures().message_bytes;
+    scenario_.faults(*this);
+    for (duration it = topup_interval; it < scenario_.length;
+         it += topup_interval) {
         rig.events().at(at(it), [this] {
-            const int budget = demand_.draw_budget();
-            top_up(budget, tokens(demand_.prepaid(budget).count() / 4));
+            const int budget = workload_.draw_budget();
+            top_up(budget, tokens(workload_.prepaid(budget).count() / 4));
         });
     }
-    arrive();
-    rig.run_for(plan_.length + minutes(2));
+    schedule_arrivals();
+    rig.run_for(scenario_.length + minutes(2));
 }
 
-void scenario_run::arrive()
+void scenario_run::schedule_arrivals()
 {
-    rig.events().after(demand_.gap(), [this] {
-        if (rig.now() >= at(plan_.length))
+    rig.events().after(workload_.gap(), [this] {
+        if (rig.now() >= at(scenario_.length))
             return;
-        send(demand_.draw());
-        arrive();
+        send(workload_.draw());
+        schedule_arrivals();
     });
 }
 
 void scenario_run::send(const demand_item& drawn)
 {
     demand_item item = drawn;
-    // A caller whose host is down takes the next one of its data center.
+    // If the host is down, the caller uses the next one in its data center.
     for (int n = 0; n < size_.nodes && !rig.alive(item.node); ++n)
         item.node = (item.node + size_.data_centers) % size_.nodes;
     rig.request({.node = item.node,
@@ -178,7 +182,7 @@
                  .actual = item.actual,
                  .time = item.time,
                  .key = {}});
-    for (baseline* it : {&split_, &writes_}) {
+    for (baseline* it : {&static_split_, &write_per_request_}) {
         const bool reached = rig.reaches_store(item.node);
         if (!it->admit(item.node, item.budget, item.worst, reached))
             continue;
@@ -197,7 +201,7 @@
 json scenario_run::baseline_result(const baseline& it) const
 {
     const baseline_figures& all = it.figures();
-    const double seconds = to_seconds(plan_.length);
+    const double seconds = to_seconds(scenario_.length);
     return {{"refused", all.refused},
             {"false_refusals", all.false_refused},
             {"false_refusals_per_million", per_million(all.false_refused)},
@@ -213,14 +217,15 @@
     for (int n = 0; n < rig.books().shards(); ++n)
         report.add(rig.books().of(n));
     const budget::budget_sums& sums = report.total();
-    const double seconds = to_seconds(plan_.length);
+    const double seconds = to_seconds(scenario_.length);
     const auto nodes = static_cast<double>(size_.nodes);
     const auto written =
-        static_cast<double>(rig.books().writes() - writes_before_);
-    // A record goes to the shard's owner and from there to the store.
+        static_cast<double>(rig.books().writes() - writes_at_start_);
+    // Counted twice, since a record is sent to the shard's owner and from there
+    // to the store.
     const auto bytes =
-        static_cast<double>(all.message_bytes - message_bytes_before_ +
-                            2 * (rig.books().bytes() - book_bytes_before_));
+        static_cast<double>(all.message_bytes - message_bytes_at_start_ +
+                            2 * (rig.books().bytes() - book_bytes_at_start_));
     const double waited = all.waited == 0 ? 0
                                           : 1e3 * all.waited_seconds /
                                                 static_cast<double>(all.waited);
@@ -239,21 +244,21 @@
         {"spent_tokens", sums.spent.count()},
         {"stranded_tokens", sums.stranded.count()},
         {"uncollected_tokens", sums.uncollected.count()}};
-    return {{"scenario", plan_.name},
+    return {{"scenario", scenario_.name},
             {"fleet", size_.name},
             {"nodes", size_.nodes},
             {"budgets", size_.budgets},
             {"seconds", seconds},
             {"requests", all.requests},
             {"escrow", std::move(escrow)},
-            {"static_split", baseline_result(split_)},
-            {"write_per_request", baseline_result(writes_)}};
+            {"static_split", baseline_result(static_split_)},
+            {"write_per_request", baseline_result(write_per_request_)}};
 }
 
-// ---- scenarios
+// ---- Scenarios
 
-// Cuts the last third of the data centers off from the store and the rest.
-void cut(scenario_run& run, duration from, duration length)
+// Partitions the last third of the data centers from the store and the others.
+void partition_data_centers(scenario_run& run, duration from, duration length)
 {
     const int n = run.rig.options().data_centers;
     std::vector<std::vector<int>> sides(2);
@@ -264,14 +269,14 @@
     run.rig.events().at(run.at(from + length), [&run] { run.rig.heal(); });
 }
 
-void outage(scenario_run& run, duration from, duration length)
+void interrupt_store(scenario_run& run, duration from, duration length)
 {
     run.rig.events().at(run.at(from), [&run] { run.rig.store_up(false); });
     run.rig.events().at(run.at(from + length),
                         [&run] { run.rig.store_up(true); });
 }
 
-void deaths(scenario_run& run, duration every, duration until)
+void kill_nodes(scenario_run& run, duration every, duration until)
 {
     int n = 0;
     for (duration it = every; it < until; it += every) {
@@ -288,24 +293,26 @@
         {"partitions of 20 ms", minutes(10),
          [](scenario_run& run) {
              for (int n = 1; n < 100; ++n)
-                 cut(run, seconds(6) * n, milliseconds(20));
+                 partition_data_centers(run, seconds(6) * n, milliseconds(20));
          }},
         {"partitions of 10 s", minutes(10),
          [](scenario_run& run) {
              for (int n = 1; n < 20; ++n)
-                 cut(run, seconds(30) * n, seconds(10));
+                 partition_data_centers(run, seconds(30) * n, seconds(10));
          }},
         {"partition of 1 h", minutes(70),
-         [](scenario_run& run) { cut(run, minutes(5), hours(1)); }},
+         [](scenario_run& run) {
+             partition_data_centers(run, minutes(5), hours(1));
+         }},
         {"outage of 1 h", minutes(70),
-         [](scenario_run& run) { outage(run, minutes(5), hours(1)); }},
+         [](scenario_run& run) { interrupt_store(run, minutes(5), hours(1)); }},
         {"deaths", minutes(10),
-         [](scenario_run& run) { deaths(run, seconds(45), minutes(10)); }},
+         [](scenario_run& run) { kill_nodes(run, seconds(45), minutes(10)); }},
         {"all together", minutes(70),
          [](scenario_run& run) {
-             cut(run, minutes(5), minutes(30));
-             outage(run, minutes(20), minutes(30));
-             deaths(run, minutes(4), minutes(70));
+             partition_data_centers(run, minutes(5), minutes(30));
+             interrupt_store(run, minutes(20), minutes(30));
+             kill_nodes(run, minutes(4), minutes(70));
              run.rig.lose_replies(50);
          }},
     };
@@ -315,16 +322,16 @@
 {
     return {
         {"partition, outage and deaths", length, [length](scenario_run& run) {
-             cut(run, length / 6, length / 2);
-             outage(run, length / 4, length / 8);
-             deaths(run, length / 8, length);
+             partition_data_centers(run, length / 6, length / 2);
+             interrupt_store(run, length / 4, length / 8);
+             kill_nodes(run, length / 8, length);
          }}};
 }
 
 json run_one(const fleet_size& size, const scenario& plan,
-             const bench_choices& choices)
+             const bench_parameters& parameters)
 {
-    scenario_run run(size, plan, choices);
+    scenario_run run(size, plan, parameters);
     run.run();
     return run.result();
 }
@@ -351,7 +358,7 @@
     std::fflush(stdout);
 }
 
-void print_head()
+void print_header()
 {
     std::printf("%-30s %5s %9s | %29s | %4s | %16s | %8s %9s %7s\n", "", "", "",
                 "false refusals per million", "over", "writes/s", "bytes/s", "",
@@ -365,73 +372,75 @@
 
 int run_bench_budgets(int argc, char** argv)
 {
-    settings::settings wanted("bench budgets",
-                              "Budgets under faults, beside two baselines, in "
-                              "virtual time.");
-    wanted.choice("format", {"text", "json"}, "how to print the results");
-    wanted.choice("fleet", {"both", "small", "large"},
-                  "8 nodes, 340 nodes, or both");
-    wanted.choice("scenario-weight", {"false_refusal", "overspend"},
-                  "what the deployment weighs more");
-    wanted.text("only", "", "run scenarios whose name contains this");
-    wanted.number({.name = "seed", .fallback = 1, .help = "of the run"});
-    wanted.number({.name = "shards",
-                   .fallback = 16,
-                   .low = 1,
-                   .high = 4096,
-                   .help = "of the journal"});
-    wanted.milliseconds("flush", 500, "how long a shard's owner gathers");
-    wanted.number({.name = "large-budgets",
-                   .fallback = 35'000,
-                   .low = 1,
-                   .help = "budgets of the large fleet"});
-    wanted.number({.name = "large-seconds",
-                   .fallback = 300,
-                   .low = 60,
-                   .unit = "s",
-                   .help = "length of the large fleet's run"});
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags("bench budgets",
+                             "Budgets under faults, compared with two "
+                             "baselines, in virtual time.");
+    flags.choice("format", {"text", "json"}, "format of the results");
+    flags.choice("fleet", {"both", "small", "large"},
+                 "small: 8 nodes, large: 340 nodes");
+    flags.choice("scenario-weight", {"false_refusal", "overspend"},
+                 "the error that the deployment prefers to avoid");
+    flags.text("only", "", "run only scenarios whose names contain this text");
+    flags.number(
+        {.name = "seed", .fallback = 1, .help = "seed of the random numbers"});
+    flags.number({.name = "shards",
+                  .fallback = 16,
+                  .low = 1,
+                  .high = 4096,
+                  .help = "shards of the journal"});
+    flags.milliseconds("flush", 500,
+                       "how long a shard's owner batches records");
+    flags.number({.name = "large-budgets",
+                  .fallback = 35'000,
+                  .low = 1,
+                  .help = "budgets of the large fleet"});
+    flags.number({.name = "large-seconds",
+                  .fallback = 300,
+                  .low = 60,
+                  .unit = "s",
+                  .help = "virtual time of the large fleet's run"});
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
 
-    bench_choices choices;
-    choices.seed = static_cast<std::uint64_t>(wanted.number_of("seed"));
-    choices.shards = static_cast<int>(wanted.number_of("shards"));
-    choices.flush = wanted.duration_of("flush");
-    if (wanted.text_of("scenario-weight") == "overspend")
-        choices.weight = budget::preference::overspend;
-    const bool as_json = wanted.text_of("format") == "json";
-    const std::string& fleet = wanted.text_of("fleet");
+    bench_parameters parameters;
+    parameters.seed = static_cast<std::uint64_t>(flags.number_of("seed"));
+    parameters.shards = static_cast<int>(flags.number_of("shards"));
+    parameters.flush = flags.duration_of("flush");
+    if (flags.text_of("scenario-weight") == "overspend")
+        parameters.weight = budget::preference::overspend;
+    const bool as_json = flags.text_of("format") == "json";
+    const std::string& fleet = flags.text_of("fleet");
 
     const fleet_size small{"small", 8, 3, 300, 100};
     const fleet_size large{"large", 340, 6,
-                           static_cast<int>(wanted.number_of("large-budgets")),
+                           static_cast<int>(flags.number_of("large-budgets")),
                            4200};
     json all = json::array();
-    bool held = true;
+    bool budgets_hold = true;
     const auto run_all = [&](const fleet_size& size,
                              const std::vector<scenario>& plans) {
         for (const scenario& it : plans) {
-            if (it.name.find(wanted.text_of("only")) == std::string::npos)
+            if (it.name.find(flags.text_of("only")) == std::string::npos)
                 continue;
-            all.push_back(run_one(size, it, choices));
+            all.push_back(run_one(size, it, parameters));
             const json& escrow = all.back()["escrow"];
-            held = held && escrow["overspent_tokens"] == 0 &&
-                   escrow["double_billed"] == 0;
+            budgets_hold = budgets_hold && escrow["overspent_tokens"] == 0 &&
+                           escrow["double_billed"] == 0;
             if (!as_json)
                 print_row(all.back());
         }
     };
     if (!as_json)
-        print_head();
+        print_header();
     if (fleet != "large")
         run_all(small, small_scenarios());
     if (fleet != "small")
         run_all(large,
-                large_scenarios(seconds(wanted.number_of("large-seconds"))));
+                large_scenarios(seconds(flags.number_of("large-seconds"))));
     if (as_json)
         std::cout << all.dump(2) << '\n';
-    return held ? exit_success : exit_failure;
+    return budgets_hold ? exit_success : exit_failure;
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/bench_config.cpp
+++ b/apps/fennelladder/bench_config.cpp
@@ -1,10 +1,10 @@
-// `fennelladder bench config`: what the configuration costs.
+// `fennelladder bench config`: cost of distributing the configuration.
 //
-// First by size: manifests of growing numbers of budgets are parsed, split,
-// accepted and taken up by one node, with all bytes encoded for real; then
-// one budget is changed. Then by fleet: nodes with a small manifest on virtual
-// time, with fixed times for calls and heartbeats, until a change is in force
-// everywhere. Memory is what the allocator hands out.
+// By size: manifests with a growing number of budgets are parsed, split,
+// accepted and loaded by one node, with all bytes actually encoded; then one
+// budget is changed. By fleet: nodes with a small manifest run in virtual time,
+// with fixed times for calls and heartbeats, until a change is in force
+// everywhere. Memory is what the allocator has handed out.
 
 #include "benches.hpp"
 #include "command.hpp"
@@ -40,17 +40,17 @@
 constexpr double changes_per_day = 320;
 constexpr double day_seconds = 86'400;
 
-double processor_seconds()
+double cpu_seconds()
 {
     return double(std::clock()) / CLOCKS_PER_SEC;
 }
 
 template <class Call>
-double time_of(const Call& call)
+double cpu_seconds_of(const Call& call)
 {
-    const double begun = processor_seconds();
+    const double began = cpu_seconds();
     call();
-    return processor_seconds() - begun;
+    return cpu_seconds() - began;
 }
 
 std::size_t allocated_bytes()
@@ -59,7 +59,7 @@
     return info.uordblks + info.hblkhd;
 }
 
-/// A store that counts the bytes of values written and read.
+/// A store that counts calls and the bytes of values written and read.
 class counting_store final : public platform::object_store
 {
 public:
@@ -115,9 +115,9 @@
     platform::memory_object_store inner_;
 };
 
-/// Makes a fetch from the platform and hands the answer to the holder.
-void carry_out(const fetch& it, platform::object_store& store,
-               configuration_holder& holder, instant now)
+/// Performs a fetch from the platform and passes the reply to the holder.
+void perform_fetch(const fetch& it, platform::object_store& store,
+                   configuration_holder& holder, instant now)
 {
     constexpr std::size_t page_limit = 1'000;
     if (it.what == fetch_kind::parts)
@@ -130,20 +130,21 @@
         now);
 }
 
-/// Lets one node take up whatever is accepted; returns processor seconds.
-double take_up(platform::object_store& store, configuration_holder& holder,
-               generation wanted, instant& now)
+/// Runs one node until it has loaded generation `wanted`. Returns CPU seconds.
+double load_generation(platform::object_store& store,
+                       configuration_holder& holder, generation wanted,
+                       instant& now)
 {
-    return time_of([&] {
+    return cpu_seconds_of([&] {
         while (holder.announce().number < wanted) {
             now += milliseconds(100);
             for (const fetch& it : holder.step(now))
-                carry_out(it, store, holder, now);
+                perform_fetch(it, store, holder, now);
         }
     });
 }
 
-apply_request request_of(document manifest, int n)
+apply_request make_request(document manifest, int n)
 {
     apply_request made;
     made.manifest = std::move(manifest);
@@ -158,25 +159,27 @@
 {
     random_source random(3);
     std::size_t found = 0;
-    const double budget_time = time_of([&] {
+    const double budget_time = cpu_seconds_of([&] {
         for (std::size_t n = 0; n < lookups; ++n)
             found += config
                          .find_budget(budget_id(
                              "budget-" + std::to_string(random.below(budgets))))
                          .has_value();
     });
-    const double team_time = time_of([&] {
+    const double team_time = cpu_seconds_of([&] {
         for (std::size_t n = 0; n < lookups; ++n)
             found +=
                 config.find_team(team_id(
                     "team-" + std::to_string(random.below(teams)))) != nullptr;
     });
-    row["lookups_found"] = found; // 2 x lookups, or the figures are void.
+    // Must be 2 x lookups, else the times are invalid.
+    row["lookups_found"] = found;
     row["find_budget_ns"] = budget_time / lookups * 1e9;
     row["find_team_ns"] = team_time / lookups * 1e9;
 }
 
-/// What reading the root costs a node, once its history is full.
+/// Bytes per second that a node reads when it polls the root, once the root's
+/// history is full.
 double poll_bytes_per_second(platform::object_store& store)
 {
     root full = *decode_root(store.get(root_key())->value);
@@ -198,32 +201,33 @@
     json row = {{"budgets", budgets}, {"teams", teams}};
     const std::string text = encode(manifest);
     row["manifest_bytes"] = text.size();
-    row["parse_seconds"] = time_of([&] {
+    row["parse_seconds"] = cpu_seconds_of([&] {
         if (!parse(text, "bench").ok())
             row["invalid"] = true;
     });
-    row["split_seconds"] = time_of([&] {
-        const auto pieces = split(manifest, nullptr);
+    row["split_seconds"] = cpu_seconds_of([&] {
+        const auto encoded = split(manifest, nullptr);
         std::size_t bytes = 0;
         std::size_t largest = 0;
-        for (const auto& [name, part] : pieces->parts) {
+        for (const auto& [name, part] : encoded->parts) {
             bytes += part.size();
             largest = std::max(largest, part.size());
         }
-        row["parts"] = pieces->parts.size();
+        row["parts"] = encoded->parts.size();
         row["parts_bytes"] = bytes;
         row["largest_part_bytes"] = largest;
     });
 
     counting_store store;
     applier operators(store, {}, [](duration) {});
-    const auto first = operators.apply(request_of(manifest, 1));
+    const auto first = operators.apply(make_request(manifest, 1));
     instant now = start;
     const std::size_t before = allocated_bytes();
     auto holder = std::make_unique<configuration_holder>(holder_options{},
                                                          random_source(1), now);
     store.calls = store.read = 0;
-    row["node_start_seconds"] = take_up(store, *holder, first->number, now);
+    row["node_start_seconds"] =
+        load_generation(store, *holder, first->number, now);
     row["node_start_calls"] = store.calls;
     row["node_start_bytes"] = store.read;
     row["node_memory_bytes"] = allocated_bytes() - before;
@@ -233,11 +237,12 @@
     manifest.budgets[budgets / 2].topups.push_back(
         {topup_id("more"), tokens(5)});
     store.calls = store.written = 0;
-    const auto second = operators.apply(request_of(std::move(manifest), 2));
+    const auto second = operators.apply(make_request(std::move(manifest), 2));
     row["change_upload_calls"] = store.calls;
     row["change_upload_bytes"] = store.written;
     store.calls = store.read = 0;
-    row["change_node_seconds"] = take_up(store, *holder, second->number, now);
+    row["change_node_seconds"] =
+        load_generation(store, *holder, second->number, now);
     row["change_node_calls"] = store.calls;
     row["change_node_bytes"] = store.read;
     row["changes_node_bytes_per_second"] =
@@ -246,21 +251,22 @@
     return row;
 }
 
-/// How news travels in the fleet's run.
-struct fleet_case
+/// The ways in which updates reach the nodes in a fleet's run.
+struct propagation_case
 {
     const char* name;
-    std::size_t watches; ///< Nodes whose watch tells of changes.
-    bool heartbeats;     ///< Peers announce to each other.
-    bool platform;       ///< Up after the first node took the change up.
+    std::size_t watches; ///< Nodes whose watch reports changes.
+    bool heartbeats;     ///< Peers announce their generation.
+    bool platform;       ///< Stays up once a node has the change.
 };
 
-/// Nodes on virtual time. A call to the platform takes 5 ms, one to a peer
-/// 3 ms, and each node sends two heartbeats a second to random peers.
+/// Nodes in virtual time. A call to the platform takes 5 ms, one to a peer 3
+/// ms, and each node sends two heartbeats a second, each to a random peer.
 class fleet
 {
 public:
-    fleet(std::size_t count, const fleet_case& how) : how_(how), random_(9)
+    fleet(std::size_t count, const propagation_case& propagation)
+        : case_(propagation), random_(9)
     {
         for (std::size_t to = 0; to < count; ++to) {
             holders_.push_back(std::make_unique<configuration_holder>(
@@ -274,24 +280,26 @@
     {
         document manifest = make_synthetic({.teams = 20, .budgets = 100});
         manifest.budgets[0].topups[0].amount = tokens(n);
-        wanted_ = operators_.apply(request_of(std::move(manifest), n))->number;
+        wanted_ =
+            operators_.apply(make_request(std::move(manifest), n))->number;
         const std::string bytes = store_.get(root_key())->value;
-        const std::size_t count = std::min(how_.watches, holders_.size());
+        const std::size_t count = std::min(case_.watches, holders_.size());
         for (std::size_t to = 0; to < count; ++to)
             at(platform_time,
                [this, bytes, to] { holders_[to]->on_watch(bytes, now_); });
     }
 
-    /// Runs until all have the newest or `limit` is over; virtual seconds.
+    /// Runs until the newest generation is in force on all nodes, or until
+    /// `limit` has passed. Returns virtual seconds.
     double run_until_in_force(duration limit)
     {
-        const instant begun = now_;
-        while (!all_have() && now_ - begun < limit) {
+        const instant began = now_;
+        while (!in_force_everywhere() && now_ - began < limit) {
             tick();
-            if (!how_.platform && reached() > 0 && wanted_.value() > 1)
+            if (!case_.platform && reached() > 0 && wanted_.value() > 1)
                 platform_up_ = false;
         }
-        return to_seconds(now_ - begun);
+        return to_seconds(now_ - began);
     }
 
     void run(duration length)
@@ -300,7 +308,7 @@
             tick();
     }
 
-    bool all_have() const { return reached() == holders_.size(); }
+    bool in_force_everywhere() const { return reached() == holders_.size(); }
 
     std::uint64_t platform_calls() const
     {
@@ -321,7 +329,7 @@
 private:
     static constexpr duration platform_time = milliseconds(5);
     static constexpr duration peer_time = milliseconds(3);
-    static constexpr duration heartbeat_every = milliseconds(500);
+    static constexpr duration heartbeat_interval = milliseconds(500);
 
     std::size_t reached() const
     {
@@ -332,21 +340,21 @@
 
     void at(duration after, std::function<void()> what)
     {
-        due_.emplace(now_ + after, std::move(what));
+        pending_.emplace(now_ + after, std::move(what));
     }
 
     void tick()
     {
         now_ += milliseconds(5);
-        while (!due_.empty() && due_.begin()->first <= now_) {
-            const auto what = std::move(due_.begin()->second);
-            due_.erase(due_.begin());
+        while (!pending_.empty() && pending_.begin()->first <= now_) {
+            const auto what = std::move(pending_.begin()->second);
+            pending_.erase(pending_.begin());
             what();
         }
         for (std::size_t n = 0; n < holders_.size(); ++n) {
             if (holders_[n]->next_step() <= now_)
                 step(*holders_[n]);
-            if (how_.heartbeats && next_heartbeat_[n] <= now_)
+            if (case_.heartbeats && next_heartbeat_[n] <= now_)
                 send_heartbeat(n);
         }
     }
@@ -357,7 +365,7 @@
             if (it.from_platform())
                 at(platform_time, [this, it, &holder] {
                     if (platform_up_)
-                        carry_out(it, store_, holder, now_);
+                        perform_fetch(it, store_, holder, now_);
                     else
                         holder.on_answer(it.call,
                                          fail(error_code::unavailable, "down"),
@@ -365,12 +373,12 @@
                 });
             else
                 at(peer_time, [this, it, &holder] {
-                    holder.on_answer(it.call, ask_peer(it), now_);
+                    holder.on_answer(it.call, fetch_from_peer(it), now_);
                 });
         }
     }
 
-    result<std::string> ask_peer(const fetch& it) const
+    result<std::string> fetch_from_peer(const fetch& it) const
     {
         const auto config = holders_[std::stoul(it.peer.str())]->in_force();
         if (it.what == fetch_kind::root)
@@ -383,37 +391,37 @@
 
     void send_heartbeat(std::size_t n)
     {
-        next_heartbeat_[n] = now_ + jitter(random_, heartbeat_every);
-        const announcement said = holders_[n]->announce();
+        next_heartbeat_[n] = now_ + jitter(random_, heartbeat_interval);
+        const announcement announced = holders_[n]->announce();
         const std::size_t to = random_.below(holders_.size());
-        if (to != n && said.number.value() > 0)
-            at(peer_time, [this, n, to, said] {
+        if (to != n && announced.number.value() > 0)
+            at(peer_time, [this, n, to, announced] {
                 holders_[to]->on_announcement(incarnation_id(std::to_string(n)),
-                                              said);
+                                              announced);
             });
     }
 
-    fleet_case how_;
+    propagation_case case_;
     random_source random_;
     instant now_ = start;
     platform::memory_object_store store_;
     applier operators_{store_, {}, [](duration) {}};
     std::vector<std::unique_ptr<configuration_holder>> holders_;
     std::vector<instant> next_heartbeat_;
-    std::multimap<instant, std::function<void()>> due_;
+    std::multimap<instant, std::function<void()>> pending_;
     generation wanted_;
     bool platform_up_ = true;
 };
 
-json measure_fleet(std::size_t nodes, const fleet_case& how)
+json measure_fleet(std::size_t nodes, const propagation_case& propagation)
 {
     constexpr duration limit = minutes(5);
     constexpr duration quiet = seconds(60);
-    fleet all(nodes, how);
+    fleet all(nodes, propagation);
     all.accept(1);
     all.run_until_in_force(limit);
     const auto idle_before = all.platform_calls();
-    const double idle_processor = time_of([&] { all.run(quiet); });
+    const double idle_cpu = cpu_seconds_of([&] { all.run(quiet); });
     const auto idle_calls = all.platform_calls() - idle_before;
     const auto calls = all.platform_calls();
     const auto peers = all.peer_calls();
@@ -421,14 +429,14 @@
     const double taken = all.run_until_in_force(limit);
     return {
         {"nodes", nodes},
-        {"case", how.name},
+        {"case", propagation.name},
         {"in_force_seconds", taken},
-        {"in_force_everywhere", all.all_have()},
+        {"in_force_everywhere", all.in_force_everywhere()},
         {"platform_calls_for_change", all.platform_calls() - calls},
         {"peer_calls_for_change", all.peer_calls() - peers},
         {"platform_polls_per_second", double(idle_calls) / to_seconds(quiet)},
         {"idle_processor_share_per_node",
-         idle_processor / to_seconds(quiet) / double(nodes)}};
+         idle_cpu / to_seconds(quiet) / double(nodes)}};
 }
 
 void print_table(const json& rows)
@@ -445,13 +453,13 @@
 
 int run_bench_config(int argc, char** argv)
 {
-    settings::settings wanted("config",
-                              "Cost of the configuration by size and fleet.");
-    wanted.choice("format", {"table", "json"}, "of the output");
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags(
+        "config", "Cost of the configuration by its size and the fleet's.");
+    flags.choice("format", {"table", "json"}, "format of the results");
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    static constexpr fleet_case cases[] = {
+    static constexpr propagation_case cases[] = {
         {"every node watches", SIZE_MAX, true, true},
         {"12 nodes watch", 12, true, true},
         {"watches silent", 0, true, true},
@@ -461,10 +469,10 @@
     for (const std::size_t budgets : {1'000U, 10'000U, 100'000U, 350'000U})
         out["by_size"].push_back(measure_size(budgets));
     for (const std::size_t nodes : {8U, 32U, 128U, 340U}) {
-        for (const fleet_case& it : cases)
+        for (const propagation_case& it : cases)
             out["by_fleet"].push_back(measure_fleet(nodes, it));
     }
-    if (wanted.text_of("format") == "json")
+    if (flags.text_of("format") == "json")
         std::cout << out.dump() << '\n';
     else {
         print_table(out["by_size"]);
--- a/apps/fennelladder/bench_control.cpp
+++ b/apps/fennelladder/bench_control.cpp
@@ -1,5 +1,5 @@
-// `fennelladder bench control`: what control costs a node and how quickly the
-// fleet learns of changes, beside the limits of the size to design for.
+// `fennelladder bench control`: what the control plane costs a node and how
+// quickly changes reach the fleet, compared with the limits at the design size.
 
 #include "benches.hpp"
 #include "command.hpp"
@@ -22,16 +22,18 @@
 using bench::traffic;
 using nlohmann::ordered_json;
 
-// The size to design for, and what a node may spend there.
-constexpr std::size_t full_size = 340;
-constexpr double most_bytes = 2048;
-constexpr double most_core_share = 0.035;
-constexpr double most_memory = 64e6;
-constexpr double most_config_seconds = 13;
+// Largest fleet that the design must support, in nodes, and what a node may
+// spend in it: bytes per second, share of a core, bytes of memory, seconds
+// until a configuration is in force.
+constexpr std::size_t design_nodes = 340;
+constexpr double max_control_bytes = 2048;
+constexpr double max_core_share = 0.035;
+constexpr double max_memory_bytes = 64e6;
+constexpr double max_config_seconds = 13;
 
-// What a message costs on the wire beside its encoding: a frame and method
-// name of Thrift, headers of TCP and IP, its share of acknowledgements.
-constexpr double wire_overhead = 120;
+// Estimated bytes per message in addition to its encoding: Thrift's frame and
+// method name, TCP and IP headers, and a share of the acknowledgements.
+constexpr double message_overhead_bytes = 120;
 
 ordered_json to_json(const delay_summary& it)
 {
@@ -44,10 +46,10 @@
             {"sent_bytes_busiest", it.most_bytes},
             {"sent_messages", it.messages},
             {"sent_bytes_with_estimated_wire_overhead",
-             it.bytes + it.messages * wire_overhead}};
+             it.bytes + it.messages * message_overhead_bytes}};
 }
 
-// Sent and fetched: what a node fetches another one sends.
+// Bytes sent plus bytes fetched, since what one node fetches another one sends.
 double control_bytes(const control_outcome& it)
 {
     return it.quiet.bytes + it.fetched_bytes;
@@ -55,10 +57,11 @@
 
 bool within_limits(const control_outcome& it)
 {
-    return control_bytes(it) <= most_bytes &&
-           it.core_share <= most_core_share && it.memory_bytes <= most_memory &&
-           it.config_with_platform.longest <= most_config_seconds &&
-           it.config_without_platform.longest <= most_config_seconds;
+    return control_bytes(it) <= max_control_bytes &&
+           it.core_share <= max_core_share &&
+           it.memory_bytes <= max_memory_bytes &&
+           it.config_with_platform.longest <= max_config_seconds &&
+           it.config_without_platform.longest <= max_config_seconds;
 }
 
 ordered_json to_json(const control_outcome& it, std::size_t change_bytes)
@@ -105,51 +108,54 @@
 
 int run_bench_control(int argc, char** argv)
 {
-    settings::settings wanted("bench control",
-                              "What control costs, and how quick it is.");
-    wanted.choice("format", {"text", "json"}, "how results are printed");
-    wanted.text("nodes", "8,32,128,340", "sizes of the fleet, with commas");
-    wanted.number({.name = "seconds",
-                   .fallback = 60,
-                   .low = 10,
-                   .high = 3600,
-                   .unit = "s",
-                   .help = "virtual time of the quiet phase"});
-    wanted.number({.name = "seed", .fallback = 1, .help = "of all draws"});
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags("bench control",
+                             "Cost and latency of the control plane.");
+    flags.choice("format", {"text", "json"}, "format of the results");
+    flags.text("nodes", "8,32,128,340", "fleet sizes, separated by commas");
+    flags.number({.name = "seconds",
+                  .fallback = 60,
+                  .low = 10,
+                  .high = 3600,
+                  .unit = "s",
+                  .help = "virtual time of the phase without changes"});
+    flags.number(
+        {.name = "seed", .fallback = 1, .help = "seed of the random numbers"});
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    const auto sizes = read_sizes(wanted.text_of("nodes"));
+    const auto sizes = read_sizes(flags.text_of("nodes"));
     if (sizes.empty()) {
-        std::cerr << "bench control: --nodes wants numbers from 2 to 4000\n";
+        std::cerr << "bench control: --nodes takes numbers from 2 to 4000, "
+                     "separated by commas\n";
         return exit_bad_input;
     }
     ordered_json report = ordered_json::array();
-    bool well = true;
+    bool all_within_limits = true;
     for (const std::size_t n : sizes) {
-        // The manifest grows with the fleet.
-        const std::size_t budgets = 350'000 * n / full_size;
-        const std::size_t teams = 8'200 * n / full_size;
+        // The manifest grows in proportion to the fleet.
+        const std::size_t budgets = 350'000 * n / design_nodes;
+        const std::size_t teams = 8'200 * n / design_nodes;
         bench::control_options options;
         options.nodes = n;
-        options.quiet = seconds(wanted.number_of("seconds"));
-        options.seed = static_cast<std::uint64_t>(wanted.number_of("seed"));
+        options.quiet = seconds(flags.number_of("seconds"));
+        options.seed = static_cast<std::uint64_t>(flags.number_of("seed"));
         options.change_bytes =
-            bench::bytes_of_one_change(budgets, teams, 600 * n / full_size);
-        const auto seen = bench::measure_control(options);
-        well = well && (n > full_size || within_limits(seen));
-        report.push_back(to_json(seen, options.change_bytes));
+            bench::bytes_of_one_change(budgets, teams, 600 * n / design_nodes);
+        const auto outcome = bench::measure_control(options);
+        all_within_limits =
+            all_within_limits && (n > design_nodes || within_limits(outcome));
+        report.push_back(to_json(outcome, options.change_bytes));
     }
-    if (wanted.text_of("format") == "json") {
+    if (flags.text_of("format") == "json") {
         std::cout << report.dump(1) << '\n';
-        return well ? exit_success : exit_failure;
+        return all_within_limits ? exit_success : exit_failure;
     }
     for (const ordered_json& it : report) {
         for (const auto& [name, value] : it.items())
             std::cout << name << "  " << value.dump() << '\n';
         std::cout << '\n';
     }
-    return well ? exit_success : exit_failure;
+    return all_within_limits ? exit_success : exit_failure;
 }
 
 } // namespace fennelladder::app
--- a/apps/fennelladder/bench_history.cpp
+++ b/apps/fennelladder/bench_history.cpp
@@ -1,4 +1,4 @@
-// `fennelladder bench history`: what recording and checking a history cost.
+// `fennelladder bench history`: time to record and to check a history.
 
 #include "benches.hpp"
 #include "command.hpp"
@@ -20,10 +20,11 @@
 using namespace fennelladder::history;
 
 constexpr std::int64_t chunks = 4;
-constexpr std::int64_t lines_of_request = 5 + chunks;
+constexpr std::int64_t lines_per_request = 5 + chunks;
 constexpr std::uint64_t chunk_bytes = 50;
 
-/// Writes down one request from sending to bill. `number` makes its names.
+/// Records all events of one request, from `sent` to `billed`. Ids derive from
+/// `number`.
 void record_request(recorder& to, std::int64_t number)
 {
     const instant now = from_nanoseconds(1'000'000 * number);
@@ -53,7 +54,7 @@
     to.record(now, node, billed{key, budget, tokens(70), bill_id(text)});
 }
 
-struct history_figures
+struct history_timing
 {
     std::size_t lines = 0;
     double record_seconds = 0;
@@ -68,17 +69,17 @@
         .count();
 }
 
-history_figures measure(std::int64_t wanted, std::int64_t threads)
+history_timing measure(std::int64_t line_count, std::int64_t threads)
 {
-    auto made =
-        recorder::open({.path = "", .memory_lines = std::size_t(wanted) * 2});
+    auto made = recorder::open(
+        {.path = "", .memory_lines = std::size_t(line_count) * 2});
     recorder& to = **made;
     for (int n = 0; n < 100; ++n)
         to.record(from_nanoseconds(0), node_id("node-0"),
                   prepaid{budget_id("budget-" + std::to_string(n)),
                           tokens(1'000'000'000), topup_id(std::to_string(n))});
-    const std::int64_t requests = wanted / lines_of_request;
-    history_figures out;
+    const std::int64_t requests = line_count / lines_per_request;
+    history_timing out;
     auto start = std::chrono::steady_clock::now();
     std::vector<std::thread> all;
     for (std::int64_t t = 0; t < threads; ++t) {
@@ -105,40 +106,40 @@
 
 int run_bench_history(int argc, char** argv)
 {
-    settings::settings wanted("bench history",
-                              "What recording and checking a history cost.");
-    wanted.choice("format", {"text", "json"}, "how to print the figures");
-    wanted.number({.name = "lines",
-                   .fallback = 1'000'000,
-                   .low = 1'000,
-                   .high = 10'000'000,
-                   .unit = "lines",
-                   .help = "of the largest history; also a half, a quarter "
-                           "and an eighth of it"});
-    wanted.number({.name = "threads",
-                   .fallback = 8,
-                   .low = 1,
-                   .high = 1'000,
-                   .unit = "threads",
-                   .help = "that record at once"});
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags("bench history",
+                             "Time to record and to check a history.");
+    flags.choice("format", {"text", "json"}, "format of the results");
+    flags.number({.name = "lines",
+                  .fallback = 1'000'000,
+                  .low = 1'000,
+                  .high = 10'000'000,
+                  .unit = "lines",
+                  .help = "lines of the largest history; also half, a quarter "
+                          "and an eighth of it"});
+    flags.number({.name = "threads",
+                  .fallback = 8,
+                  .low = 1,
+                  .high = 1'000,
+                  .unit = "threads",
+                  .help = "threads that record at once"});
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
     auto all = nlohmann::ordered_json::array();
     bool holds = true;
     for (const std::int64_t part : {8, 4, 2, 1}) {
-        const history_figures it = measure(wanted.number_of("lines") / part,
-                                           wanted.number_of("threads"));
+        const history_timing it = measure(flags.number_of("lines") / part,
+                                          flags.number_of("threads"));
         holds = holds && it.holds;
         all.push_back({{"lines", it.lines},
                        {"record_seconds", it.record_seconds},
                        {"check_seconds", it.check_seconds},
                        {"holds", it.holds}});
-        if (wanted.text_of("format") == "text")
+        if (flags.text_of("format") == "text")
             std::cout << it.lines << " lines: recorded in " << it.record_seconds
                       << " s, checked in " << it.check_seconds << " s\n";
     }
-    if (wanted.text_of("format") == "json")
+    if (flags.text_of("format") == "json")
         std::cout << all.dump(1) << '\n';
     return holds ? exit_success : exit_failure;
 }
--- a/apps/fennelladder/bench_journal.cpp
+++ b/apps/fennelladder/bench_journal.cpp
@@ -1,16 +1,17 @@
-// `fennelladder bench journal`: what the journal costs and how long it takes.
+// `fennelladder bench journal`: cost and latency of the journal.
 //
-// Three parts. Groups: a fleet in virtual time commits records of 64 bytes;
-// platform calls, bytes and latency for each flush interval, beside two other
-// ways in the same run: the state of a shard as one object, written whole on
-// condition of its version, and one conditional write per record. Cost: what a
-// record takes of a processor, at four batch sizes. Recovery: calls, bytes and
-// time for one who knows nothing, by log length and by size of the state.
+// Three parts. Groups: a fleet in virtual time commits records of 64 bytes.
+// Reports platform calls, bytes and latency for each flush interval, compared
+// with two alternatives in the same run: the state of a shard as one object
+// that is written whole, conditional on its version, and one conditional write
+// per record. Cost: CPU time per record, at four batch sizes. Recovery: calls,
+// bytes and time of a reader without any state, by log length and by size of
+// the state.
 //
-// The shards' owners are real committers. Other nodes are represented by what
-// reaches the owner: their wishes, gathered for the forward interval and one
-// way later. A platform call takes a fixed time, added to what the committer
-// itself says about when it flushed.
+// The shards' owners are real committers. Other nodes are simulated by the
+// records that reach the owner: batched for the forward interval, and delivered
+// one network delay later. A platform call takes a fixed time, added to the
+// time at which the committer flushed.
 
 #include "benches.hpp"
 #include "command.hpp"
@@ -36,13 +37,13 @@
 using nlohmann::json;
 
 constexpr std::size_t payload_bytes = 64;
-constexpr duration one_way = milliseconds(1);
-constexpr duration store_call = milliseconds(5);
+constexpr duration network_delay = milliseconds(1);
+constexpr duration platform_call_time = milliseconds(5);
 constexpr instant start = from_nanoseconds(1'000'000'000);
 
-/// Objects without a history, so that a bench's memory is what the objects
-/// are. Not thread safe.
-class plain_store final : public platform::object_store
+/// A store that keeps no history of changes, so that the memory of a benchmark
+/// is that of the objects. Not thread safe.
+class current_object_store final : public platform::object_store
 {
 public:
     result<platform::stored_object>
@@ -61,15 +62,15 @@
         using kind = platform::write_condition::kind;
         if (value.size() > platform::max_value_bytes)
             return fail(error_code::too_large, key.str());
-        platform::stored_object& held = objects_[key];
-        const bool exists = held.version.value() > 0;
+        platform::stored_object& stored = objects_[key];
+        const bool exists = stored.version.value() > 0;
         if (condition.which() == kind::absent && exists)
             return fail(error_code::conflict, key.str());
         if (condition.which() == kind::version &&
-            held.version != condition.version())
+            stored.version != condition.version())
             return fail(error_code::conflict, key.str());
-        held = {key, std::string(value), object_version(++revision_)};
-        return held.version;
+        stored = {key, std::string(value), object_version(++revision_)};
+        return stored.version;
     }
 
     status erase(const platform::object_key& key,
@@ -104,7 +105,8 @@
                                         std::uint64_t /*revision*/,
                                         duration /*wait*/) override
     {
-        return fail(error_code::unavailable, "no watches in the bench");
+        return fail(error_code::unavailable,
+                    "the benchmark's store has no watches");
     }
 
 private:
@@ -112,19 +114,20 @@
     std::uint64_t revision_ = 0;
 };
 
-/// Accounts of 24 bytes; a record adds to the one it names.
+/// A state of accounts of 24 bytes each. A record adds 1 to the account that
+/// its payload selects.
 class accounts final : public folded_state
 {
 public:
     explicit accounts(std::size_t count) : all_(count) {}
 
-    verdict apply(const record& wish) override
+    verdict apply(const record& added) override
     {
         std::uint64_t at = 0;
-        std::memcpy(&at, wish.payload.data(), sizeof(at));
+        std::memcpy(&at, added.payload.data(), sizeof(at));
         account& it = all_[at % all_.size()];
         it.spent += 1;
-        it.last = wish.mark.sequence;
+        it.last = added.mark.sequence;
         return {true, {}, {}};
     }
 
@@ -191,7 +194,7 @@
     return to_seconds(sorted[at]) * 1e3;
 }
 
-/// A fleet whose nodes hand their records to the owners of the shards.
+/// Simulates a fleet whose nodes forward their records to the shards' owners.
 class group_run
 {
 public:
@@ -218,7 +221,7 @@
             for (; next_record <= now;
                  next_record += from_seconds(random_.exponential(mean)))
                 add_record(next_record);
-            hand_over(now);
+            forward_records(now);
             for (auto& it : owners_)
                 tick(*it, now);
         }
@@ -255,18 +258,19 @@
         it.since.push_back(now);
     }
 
-    void hand_over(instant now)
+    void forward_records(instant now)
     {
         while (!due_.empty() && due_.begin()->first <= now) {
             const std::size_t at = due_.begin()->second;
             due_.erase(due_.begin());
-            moving_.push_back({now + one_way, at % size_.shards,
-                               std::exchange(waiting_[at], {})});
+            in_flight_.push_back({now + network_delay, at % size_.shards,
+                                  std::exchange(waiting_[at], {})});
         }
-        while (!moving_.empty() && moving_.front().arrives <= now) {
-            message it = std::move(moving_.front());
-            moving_.pop_front();
-            auto heard = [this, since = std::move(it.what.since)](auto made) {
+        while (!in_flight_.empty() && in_flight_.front().arrives <= now) {
+            message it = std::move(in_flight_.front());
+            in_flight_.pop_front();
+            auto on_committed = [this,
+                                 since = std::move(it.what.since)](auto made) {
                 if (made)
                     committed_.insert(committed_.end(), since.begin(),
                                       since.end());
@@ -274,23 +278,23 @@
                     ++failed_;
             };
             if (!owners_[it.shard]->gather(std::move(it.what.records),
-                                           std::move(heard), now))
+                                           std::move(on_committed), now))
                 ++failed_;
         }
     }
 
-    // What a flush commits is known to its writers when its calls are done.
+    // Writers learn the outcome of a flush when its calls have finished.
     void tick(group_committer& owner, instant now)
     {
         const std::uint64_t before = owner.figures().calls.append;
         owner.tick(now);
         const std::uint64_t calls = owner.figures().calls.append - before;
-        const duration took =
-            store_call *
+        const duration commit_delay =
+            platform_call_time *
                 static_cast<std::int64_t>(std::max<std::uint64_t>(calls, 1)) +
-            one_way;
+            network_delay;
         for (const instant since : committed_)
-            latencies_.push_back(now + took - since);
+            latencies_.push_back(now + commit_delay - since);
         committed_.clear();
     }
 
@@ -322,22 +326,22 @@
 
     fleet_size size_;
     committer_options options_;
-    plain_store store_;
+    current_object_store store_;
     random_source random_;
     std::vector<std::unique_ptr<group_committer>> owners_;
     std::vector<std::uint64_t> next_; // per node and shard
     std::vector<group> waiting_;      // per node and shard
     std::multimap<instant, std::size_t> due_;
-    std::deque<message> moving_;
-    std::vector<instant> committed_; // by the tick under way
+    std::deque<message> in_flight_;
+    std::vector<instant> committed_; // by the current tick
     std::vector<duration> latencies_;
     std::uint64_t failed_ = 0;
 };
 
-/// The same records, with a shard's whole state as one object.
+/// Commits the same records by writing a shard's whole state as one object.
 json run_whole_state(const fleet_size& size, duration flush_interval)
 {
-    plain_store store;
+    current_object_store store;
     random_source random(7);
     const auto state = make_accounts(size.budgets_per_shard())();
     const platform::object_key key("state");
@@ -348,7 +352,7 @@
         size.records_per_second / size.shards * to_seconds(flush_interval);
     object_version version;
     double due = 0;
-    // One shard is run; all are alike.
+    // Runs one shard and scales the result, since all shards are alike.
     for (duration at{}; at < size.length; at += flush_interval) {
         for (due += group; due >= 1; due -= 1)
             state->apply(
@@ -375,15 +379,15 @@
             {"bytes_written_per_second", static_cast<double>(bytes) * scale}};
 }
 
-/// The same records, each a conditional write of its own.
+/// Commits the same records with one conditional write each.
 json run_write_per_record(const fleet_size& size)
 {
-    plain_store store;
+    current_object_store store;
     random_source random(7);
     const auto count = static_cast<std::uint64_t>(size.records_per_second);
     std::uint64_t bytes = 0;
     std::uint64_t made = 0;
-    for (std::uint64_t n = 0; n < count; ++n) { // one second of it
+    for (std::uint64_t n = 0; n < count; ++n) { // records of 1 s
         const std::string value = random_payload(random);
         made += store
                     .put(platform::object_key("r" + std::to_string(n)), value,
@@ -397,15 +401,15 @@
             {"bytes_written_per_second", bytes}};
 }
 
-double milliseconds_since(std::chrono::steady_clock::time_point begun)
+double milliseconds_since(std::chrono::steady_clock::time_point began)
 {
-    const auto passed = std::chrono::steady_clock::now() - begun;
-    return std::chrono::duration<double, std::milli>(passed).count();
+    const auto elapsed = std::chrono::steady_clock::now() - began;
+    return std::chrono::duration<double, std::milli>(elapsed).count();
 }
 
 struct filled_log
 {
-    plain_store store;
+    current_object_store store;
     journal_layout layout{"bench", 1, 4096};
     std::size_t budgets = 1000;
     std::uint64_t next = 1;
@@ -416,23 +420,24 @@
         return {store, layout, shard_id(0), make_accounts(budgets), 1};
     }
 
-    /// Appends segments and returns milliseconds that it took.
+    /// Appends segments and returns the time in milliseconds; -1 on failure.
     double fill(shard_log& log, std::size_t segments, std::size_t batch)
     {
-        double passed = 0;
+        double elapsed_ms = 0;
         for (std::size_t n = 0; n < segments; ++n) {
-            std::vector<record> wishes;
+            std::vector<record> records_to_append;
             for (std::size_t k = 0; k < batch; ++k, ++next)
-                wishes.push_back({{incarnation_id("host-1.18c2f0a97b3d1e44"),
-                                   next, next - k - 1, 0},
-                                  1,
-                                  random_payload(random)});
-            const auto begun = std::chrono::steady_clock::now();
-            if (!log.append(std::move(wishes)))
+                records_to_append.push_back(
+                    {{incarnation_id("host-1.18c2f0a97b3d1e44"), next,
+                      next - k - 1, 0},
+                     1,
+                     random_payload(random)});
+            const auto began = std::chrono::steady_clock::now();
+            if (!log.append(std::move(records_to_append)))
                 return -1;
-            passed += milliseconds_since(begun);
+            elapsed_ms += milliseconds_since(began);
         }
-        return passed;
+        return elapsed_ms;
     }
 };
 
@@ -442,17 +447,17 @@
     const std::size_t segments = std::min<std::size_t>(records / batch, 4000);
     filled_log made;
     shard_log log = made.open();
-    const double wrote = made.fill(log, segments, batch);
+    const double append_ms = made.fill(log, segments, batch);
     shard_log reader = made.open();
-    const auto begun = std::chrono::steady_clock::now();
+    const auto began = std::chrono::steady_clock::now();
     const bool read = reader.recover().has_value();
-    const double passed = milliseconds_since(begun);
+    const double elapsed_ms = milliseconds_since(began);
     const double per_record = 1e6 / static_cast<double>(segments * batch);
     return {
         {"records_per_segment", batch},
         {"ok", read && reader.position() == segments},
-        {"append_ns_per_record", wrote * per_record},
-        {"decode_and_fold_ns_per_record", passed * per_record},
+        {"append_ns_per_record", append_ms * per_record},
+        {"decode_and_fold_ns_per_record", elapsed_ms * per_record},
         {"bytes_per_record", static_cast<double>(log.calls().bytes_written) /
                                  static_cast<double>(segments * batch)}};
 }
@@ -462,20 +467,20 @@
     filled_log made;
     made.budgets = budgets;
     shard_log log = made.open();
-    const bool begun_well = made.fill(log, 1, 26) >= 0;
-    const bool kept = log.checkpoint().has_value();
+    const bool filled = made.fill(log, 1, 26) >= 0;
+    const bool checkpointed = log.checkpoint().has_value();
     made.fill(log, segments, 26);
     shard_log reader = made.open();
-    const auto begun = std::chrono::steady_clock::now();
+    const auto began = std::chrono::steady_clock::now();
     const bool read = reader.recover().has_value();
-    const double passed = milliseconds_since(begun);
-    return {
-        {"segments", segments},
-        {"budgets", budgets},
-        {"ok", begun_well && kept && read && reader.position() == segments + 1},
-        {"ms", passed},
-        {"calls", reader.calls().total()},
-        {"bytes_read", reader.calls().bytes_read}};
+    const double elapsed_ms = milliseconds_since(began);
+    return {{"segments", segments},
+            {"budgets", budgets},
+            {"ok", filled && checkpointed && read &&
+                       reader.position() == segments + 1},
+            {"ms", elapsed_ms},
+            {"calls", reader.calls().total()},
+            {"bytes_read", reader.calls().bytes_read}};
 }
 
 json measure(const fleet_size& size)
@@ -517,50 +522,50 @@
 
 int run_bench_journal(int argc, char** argv)
 {
-    settings::settings wanted("bench journal",
-                              "Calls, bytes and time of the journal.");
-    wanted.choice("format", {"text", "json"}, "how to print the figures");
-    wanted.number({.name = "nodes",
-                   .fallback = 340,
-                   .low = 1,
-                   .high = 1000,
-                   .unit = "nodes",
-                   .help = "nodes that write"});
-    wanted.number({.name = "shards",
-                   .fallback = 16,
-                   .low = 1,
-                   .high = 256,
-                   .unit = "shards",
-                   .help = "shards of the journal"});
-    wanted.number({.name = "records",
-                   .fallback = 4200,
-                   .low = 1,
-                   .high = 100'000,
-                   .unit = "records/s",
-                   .help = "records a second of the whole fleet"});
-    wanted.number({.name = "budgets",
-                   .fallback = 350'000,
-                   .low = 1,
-                   .high = 2'000'000,
-                   .unit = "budgets",
-                   .help = "budgets of the whole fleet"});
-    wanted.number({.name = "seconds",
-                   .fallback = 60,
-                   .low = 1,
-                   .high = 3600,
-                   .unit = "s",
-                   .help = "virtual time of a fleet's run"});
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags(
+        "bench journal", "Platform calls, bytes and latency of the journal.");
+    flags.choice("format", {"text", "json"}, "format of the results");
+    flags.number({.name = "nodes",
+                  .fallback = 340,
+                  .low = 1,
+                  .high = 1000,
+                  .unit = "nodes",
+                  .help = "nodes that write"});
+    flags.number({.name = "shards",
+                  .fallback = 16,
+                  .low = 1,
+                  .high = 256,
+                  .unit = "shards",
+                  .help = "shards of the journal"});
+    flags.number({.name = "records",
+                  .fallback = 4200,
+                  .low = 1,
+                  .high = 100'000,
+                  .unit = "records/s",
+                  .help = "records per second of the whole fleet"});
+    flags.number({.name = "budgets",
+                  .fallback = 350'000,
+                  .low = 1,
+                  .high = 2'000'000,
+                  .unit = "budgets",
+                  .help = "budgets of the whole fleet"});
+    flags.number({.name = "seconds",
+                  .fallback = 60,
+                  .low = 1,
+                  .high = 3600,
+                  .unit = "s",
+                  .help = "virtual time of a fleet's run"});
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
     fleet_size size;
-    size.nodes = static_cast<std::uint64_t>(wanted.number_of("nodes"));
-    size.shards = static_cast<std::uint32_t>(wanted.number_of("shards"));
-    size.records_per_second = static_cast<double>(wanted.number_of("records"));
-    size.budgets = static_cast<std::size_t>(wanted.number_of("budgets"));
-    size.length = seconds(wanted.number_of("seconds"));
+    size.nodes = static_cast<std::uint64_t>(flags.number_of("nodes"));
+    size.shards = static_cast<std::uint32_t>(flags.number_of("shards"));
+    size.records_per_second = static_cast<double>(flags.number_of("records"));
+    size.budgets = static_cast<std::size_t>(flags.number_of("budgets"));
+    size.length = seconds(flags.number_of("seconds"));
     const json report = measure(size);
-    if (wanted.text_of("format") == "json")
+    if (flags.text_of("format") == "json")
         std::cout << report.dump(2) << '\n';
     else
         print_text(report);
--- a/apps/fennelladder/bench_path.cpp
+++ b/apps/fennelladder/bench_path.cpp
@@ -1,13 +1,13 @@
-// `fennelladder bench path`: what the way through a node adds to a request.
+// `fennelladder bench path`: latency that a node adds to a request.
 //
 // One node, its platform and engines run in this process on loopback. Each of
-// N threads has one stream open at a time and alternates between asking an
-// engine directly and asking the node, so that both ways meet the same load
-// of the machine at the same time; half of the threads begin with each. Both
-// ways ask for the same completions of the same engines. An engine puts out
-// tokens in steps of 2 ms, so a delay below a step may not show in a single
-// request. The CPU and memory are the whole process's: callers, engines,
-// platform and node together.
+// N threads has one stream open at a time and alternates between requests to an
+// engine and requests to the node, so that both paths are measured under the
+// same load of the machine at the same time. Half of the threads start with
+// each path. Both paths request the same completions from the same engines. An
+// engine emits tokens in steps of 2 ms, so a delay shorter than a step may not
+// show in a single request. CPU and memory are those of the whole process:
+// callers, engines, platform and node together.
 
 #include "benches.hpp"
 #include "command.hpp"
@@ -43,17 +43,17 @@
 constexpr double goal_p50_ms = 1;
 constexpr double goal_p99_ms = 3;
 
-/// How one request went.
+/// Outcome and timing of one request.
 struct sample
 {
-    bool whole = false;
-    std::string code; ///< Why it isn't whole.
+    bool complete = false;
+    std::string code; ///< Reason if it isn't complete.
     double first_byte_ms = 0;
     double end_ms = 0;
 };
 
-/// What one way gave; each thread fills its own.
-struct way_samples
+/// Samples of one path. Each thread has its own.
+struct path_samples
 {
     std::vector<double> first_byte_ms;
     std::vector<double> end_ms;
@@ -61,7 +61,7 @@
 
     void add(const sample& it)
     {
-        if (!it.whole) {
+        if (!it.complete) {
             ++failed[it.code];
             return;
         }
@@ -69,7 +69,7 @@
         end_ms.push_back(it.end_ms);
     }
 
-    void merge(const way_samples& other)
+    void merge(const path_samples& other)
     {
         first_byte_ms.insert(first_byte_ms.end(), other.first_byte_ms.begin(),
                              other.first_byte_ms.end());
@@ -79,10 +79,10 @@
     }
 };
 
-struct both_ways
+struct both_paths
 {
-    way_samples direct;
-    way_samples through;
+    path_samples direct;
+    path_samples through;
 };
 
 double milliseconds_since(steady::time_point began)
@@ -103,7 +103,7 @@
     return plan;
 }
 
-/// One caller: a thread's means, and how it asks each way.
+/// One caller, used by one thread: sends requests on either path.
 class stream_caller
 {
 public:
@@ -115,7 +115,7 @@
           name_("bench-" + std::to_string(number)), team_(number % plan_.teams)
     {}
 
-    sample ask_directly()
+    sample request_engine()
     {
         target::completion ask;
         ask.id = request_id(next_key());
@@ -131,12 +131,12 @@
             return true;
         });
         it.end_ms = milliseconds_since(began);
-        it.whole = end.outcome == target::dispatch_outcome::ran;
+        it.complete = end.outcome == target::dispatch_outcome::ran;
         it.code = to_string(end.outcome);
         return it;
     }
 
-    sample ask_node()
+    sample request_node()
     {
         refresh_origin();
         const http::request what = make_request();
@@ -144,7 +144,8 @@
         it.code = "no_answer";
         std::string pending;
         const auto began = steady::now();
-        // The first piece of the answer counts; a comment before it doesn't.
+        // The first chunk of the answer counts; a comment line before it
+        // doesn't.
         const auto on_bytes = [&](std::string_view bytes) {
             pending += bytes;
             if (it.first_byte_ms == 0 &&
@@ -154,23 +155,28 @@
         };
         connections_.stream(what, {.first_byte = seconds(10)}, on_bytes);
         it.end_ms = milliseconds_since(began);
-        judge(pending, it);
+        parse_outcome(pending, it);
         return it;
     }
 
 private:
-    std::string next_key() { return name_ + "-" + std::to_string(++asked_); }
+    std::string next_key()
+    {
+        return name_ + "-" + std::to_string(++requests_sent_);
+    }
 
-    // Long enough for a few words, different each time: no prefix is cached.
+    // A few words, different each time, so that no prefix is cached.
     std::string prompt() const
     {
-        return "How do I true wheel " + std::to_string(asked_) + " of " + name_;
+        return "How do I true wheel " + std::to_string(requests_sent_) +
+               " of " + name_;
     }
 
-    // Asked for between requests, as callers do, so it is in no sample.
+    // Called between requests, as callers do, so that no sample includes it.
     void refresh_origin()
     {
-        if (!origin_.empty() && steady::now() - taken_ < entry_validity)
+        if (!origin_.empty() &&
+            steady::now() - origin_fetched_at_ < entry_validity)
             return;
         const auto got = connections_.fetch(
             {.url = "http://" + node_ + "/v1/entry?caller=" + name_}, {});
@@ -180,7 +186,7 @@
         if (!body.is_object() || body["addresses"].empty())
             return;
         origin_ = body["addresses"][0].value("origin", "");
-        taken_ = steady::now();
+        origin_fetched_at_ = steady::now();
     }
 
     http::request make_request()
@@ -205,11 +211,13 @@
         return what;
     }
 
-    // Done after the clock was read: a caller's parsing isn't the node's.
-    static void judge(const std::string& answer, sample& it)
+    // Called after the end time is taken, since the caller's parsing is no cost
+    // of the node.
+    static void parse_outcome(const std::string& answer, sample& it)
     {
-        it.whole = answer.find("data: [DONE]") != std::string::npos &&
-                   answer.find("\"outcome\":\"answered\"") != std::string::npos;
+        it.complete =
+            answer.find("data: [DONE]") != std::string::npos &&
+            answer.find("\"outcome\":\"answered\"") != std::string::npos;
         const std::string member = "\"code\":\"";
         const auto at = answer.find(member);
         if (at == std::string::npos)
@@ -224,20 +232,20 @@
     target::http_target_client engine_;
     const std::string name_;
     const int team_;
-    std::uint64_t asked_ = 0;
+    std::uint64_t requests_sent_ = 0;
     std::string origin_;
-    steady::time_point taken_;
+    steady::time_point origin_fetched_at_;
 };
 
-/// The process's CPU time, from /proc/self/stat.
+/// CPU time of the process, from /proc/self/stat.
 double cpu_seconds()
 {
     std::ifstream in("/proc/self/stat");
     std::string all;
     std::getline(in, all);
-    // The program's name, in parentheses, may hold blanks.
+    // The program's name, in parentheses, may contain spaces.
     std::istringstream rest(all.substr(all.rfind(')') + 2));
-    constexpr int fields_before = 11; // state to cmajflt
+    constexpr int fields_before = 11; // From state to cmajflt.
     std::string skipped;
     for (int n = 0; n < fields_before; ++n)
         rest >> skipped;
@@ -247,14 +255,15 @@
     return (user + system) / static_cast<double>(sysconf(_SC_CLK_TCK));
 }
 
-/// A line of /proc/self/status in megabytes, such as "VmRSS:".
+/// The value of a line of /proc/self/status, such as "VmRSS:", in megabytes; 0
+/// if there is none.
 double memory_mb(const std::string& name)
 {
     std::ifstream in("/proc/self/status");
-    std::string word;
-    while (in >> word) {
+    std::string field;
+    while (in >> field) {
         double kilobytes = 0;
-        if (word == name && in >> kilobytes)
+        if (field == name && in >> kilobytes)
             return kilobytes / 1024;
     }
     return 0;
@@ -278,7 +287,7 @@
 
 struct measurement
 {
-    both_ways ways;
+    both_paths paths;
     double seconds = 0;
     double cpu = 0;
     std::string load_before;
@@ -288,24 +297,24 @@
 {
     http::client connections({.max_idle_per_address = 1'024});
     const auto urls = fleet.engine_urls(fleet.plan().long_model);
-    std::vector<both_ways> parts(static_cast<std::size_t>(plan.streams));
-    std::atomic<bool> counts{false};
-    std::atomic<bool> over{false};
+    std::vector<both_paths> parts(static_cast<std::size_t>(plan.streams));
+    std::atomic<bool> measuring{false};
+    std::atomic<bool> finished{false};
     std::vector<std::thread> threads;
     threads.reserve(parts.size());
     for (int n = 0; n < plan.streams; ++n) {
         threads.emplace_back([&, n] {
-            const auto place = static_cast<std::size_t>(n);
+            const auto index = static_cast<std::size_t>(n);
             stream_caller caller(fleet, connections,
-                                 urls[place / 2 % urls.size()], n);
-            for (int turn = n; !over; ++turn) {
-                const bool counted = counts;
-                const bool directly = turn % 2 == 0;
+                                 urls[index / 2 % urls.size()], n);
+            for (int round = n; !finished; ++round) {
+                const bool counted = measuring;
+                const bool directly = round % 2 == 0;
                 const sample it =
-                    directly ? caller.ask_directly() : caller.ask_node();
+                    directly ? caller.request_engine() : caller.request_node();
                 auto& way =
-                    directly ? parts[place].direct : parts[place].through;
-                if (counted && !over)
+                    directly ? parts[index].direct : parts[index].through;
+                if (counted && !finished)
                     way.add(it);
                 if (plan.pause > duration(0))
                     std::this_thread::sleep_for(plan.pause);
@@ -317,22 +326,22 @@
     made.load_before = machine_load();
     const double cpu = cpu_seconds();
     const auto began = steady::now();
-    counts = true;
+    measuring = true;
     std::this_thread::sleep_for(plan.measured);
-    over = true;
+    finished = true;
     made.seconds = milliseconds_since(began) / 1000;
     made.cpu = cpu_seconds() - cpu;
     for (std::thread& it : threads)
         it.join();
-    for (const both_ways& it : parts) {
-        made.ways.direct.merge(it.direct);
-        made.ways.through.merge(it.through);
+    for (const both_paths& it : parts) {
+        made.paths.direct.merge(it.direct);
+        made.paths.through.merge(it.through);
     }
     return made;
 }
 
-/// Precondition: `sorted` isn't empty.
-double at_share(const std::vector<double>& sorted, double share)
+/// Quantile `share` (0 to 1) of `sorted`, which must not be empty.
+double quantile(const std::vector<double>& sorted, double share)
 {
     return sorted[static_cast<std::size_t>(
         share * static_cast<double>(sorted.size() - 1))];
@@ -346,8 +355,8 @@
     for (const auto& [name, share] :
          {std::pair("p50", 0.50), std::pair("p95", 0.95),
           std::pair("p99", 0.99)}) {
-        const double a = at_share(direct, share);
-        const double b = at_share(through, share);
+        const double a = quantile(direct, share);
+        const double b = quantile(through, share);
         out[name] = {{"direct_ms", a}, {"node_ms", b}, {"added_ms", b - a}};
     }
     return out;
@@ -355,9 +364,9 @@
 
 json make_report(const measurement& made, const run_plan& plan)
 {
-    const way_samples& direct = made.ways.direct;
-    const way_samples& through = made.ways.through;
-    const auto asked =
+    const path_samples& direct = made.paths.direct;
+    const path_samples& through = made.paths.through;
+    const auto completed =
         static_cast<double>(direct.end_ms.size() + through.end_ms.size());
     json out = {
         {"streams", plan.streams},
@@ -369,11 +378,11 @@
         {"node_requests", through.end_ms.size()},
         {"direct_failed", direct.failed},
         {"node_failed", through.failed},
-        {"requests_per_s", asked / made.seconds},
+        {"requests_per_s", completed / made.seconds},
         {"first_byte", compare(direct.first_byte_ms, through.first_byte_ms)},
         {"end", compare(direct.end_ms, through.end_ms)},
         {"process_cpu_cores", made.cpu / made.seconds},
-        {"process_cpu_us_per_request", 1e6 * made.cpu / asked},
+        {"process_cpu_us_per_request", 1e6 * made.cpu / completed},
         {"process_rss_mb", memory_mb("VmRSS:")},
         {"process_peak_rss_mb", memory_mb("VmHWM:")},
         {"goal_p50_ms", goal_p50_ms},
@@ -415,36 +424,36 @@
         it["met"]["end"].get<bool>() ? "met" : "missed");
 }
 
-settings::settings declare_settings()
+settings::settings declare_flags()
 {
-    settings::settings wanted("bench path",
-                              "What the way through a node adds to a request, "
-                              "beside direct calls of the same engines.");
-    wanted.choice("format", {"text", "json"}, "how results are printed");
-    wanted.number({.name = "streams",
-                   .fallback = 200,
-                   .low = 2,
-                   .high = 400,
-                   .unit = "streams",
-                   .help = "open at a time, half of them direct"});
-    wanted.milliseconds("warm-up", 2'000, "before samples count");
-    wanted.milliseconds("measure", 8'000, "during which samples count");
-    wanted.milliseconds("pause", 0, "of a stream between two requests", 0);
-    return wanted;
+    settings::settings flags("bench path",
+                             "Latency that a node adds to a request, compared "
+                             "with direct calls of the same engines.");
+    flags.choice("format", {"text", "json"}, "format of the results");
+    flags.number({.name = "streams",
+                  .fallback = 200,
+                  .low = 2,
+                  .high = 400,
+                  .unit = "streams",
+                  .help = "streams open at a time, half of them direct"});
+    flags.milliseconds("warm-up", 2'000, "time before the measurement");
+    flags.milliseconds("measure", 8'000, "time of the measurement");
+    flags.milliseconds("pause", 0, "time between two requests of a stream", 0);
+    return flags;
 }
 
 } // namespace
 
 int run_bench_path(int argc, char** argv)
 {
-    settings::settings wanted = declare_settings();
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags = declare_flags();
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    const run_plan plan{static_cast<int>(wanted.number_of("streams")),
-                        wanted.duration_of("warm-up"),
-                        wanted.duration_of("measure"),
-                        wanted.duration_of("pause")};
+    const run_plan plan{static_cast<int>(flags.number_of("streams")),
+                        flags.duration_of("warm-up"),
+                        flags.duration_of("measure"),
+                        flags.duration_of("pause")};
     const system_clock time;
     const auto fleet =
         trial::fleet::start(make_plan(), {.node_threads = node_threads}, time);
@@ -454,19 +463,20 @@
     }
     const measurement made = run(**fleet, plan);
     const bool clean = (*fleet)->shut_down();
-    if (made.ways.direct.end_ms.empty() || made.ways.through.end_ms.empty()) {
-        std::cerr << "bench path: no whole answer one way; failed: direct "
-                  << json(made.ways.direct.failed) << ", node "
-                  << json(made.ways.through.failed) << '\n';
+    if (made.paths.direct.end_ms.empty() || made.paths.through.end_ms.empty()) {
+        std::cerr
+            << "bench path: a path has no complete answer; failed: direct "
+            << json(made.paths.direct.failed) << ", node "
+            << json(made.paths.through.failed) << '\n';
         return exit_failure;
     }
     const json report = make_report(made, plan);
-    if (wanted.text_of("format") == "json")
+    if (flags.text_of("format") == "json")
         std::cout << report.dump(1) << '\n';
     else
         print_text(report);
     if (!clean)
-        std::cerr << "bench path: the node left something undone\n";
+        std::cerr << "bench path: the node did not shut down cleanly\n";
     return clean ? exit_success : exit_failure;
 }
 
--- a/apps/fennelladder/bench_requests.cpp
+++ b/apps/fennelladder/bench_requests.cpp
@@ -1,9 +1,11 @@
-// `fennelladder bench requests`: what a request costs a node beside its I/O.
+// `fennelladder bench requests`: time and memory per request at a node, without
+// its I/O.
 //
-// Each thread takes requests through the table, the suspect list and the
-// machine, relays their chunks through the checker, and ends them; the
-// threads share the tables, as the workers of a node do. Memory is what the
-// allocator hands out for keys that have ended and are remembered.
+// Each thread passes requests through the request table, the suspect list and
+// the state machine, relays their chunks through the relay checker, and ends
+// them. The threads share the tables, as the workers of a node do. Memory
+// is what the allocator has handed out for keys of ended requests that are
+// still remembered.
 
 #include "benches.hpp"
 #include "command.hpp"
@@ -37,7 +39,7 @@
 const incarnation_id self("austin-1.18c2f0a97b3d1e44");
 
 /// The tables of one node.
-struct tables
+struct node_tables
 {
     request_table requests{{.max_keys = 10'000'000}};
     suspect_list suspects{self, {}};
@@ -49,9 +51,9 @@
     return request_key(to_hex(static_cast<std::uint64_t>(n)));
 }
 
-event answer_to(const action& todo, const target_id& target)
+event event_for(const action& next, const target_id& target)
 {
-    switch (todo.kind) {
+    switch (next.kind) {
     case action_kind::reserve:
         return {.kind = event_kind::reserved};
     case action_kind::check_suspect:
@@ -63,9 +65,9 @@
     }
 }
 
-/// Drives a machine to an answer of `chunks` chunks.
-conclusion drive(const request_key& key, answer_stream& stream,
-                 random_source& random)
+/// Drives the state machine of one request to an answer of `chunks` chunks.
+conclusion run_machine(const request_key& key, answer_stream& stream,
+                       random_source& random)
 {
     static const target_id target("engine-07");
     request_machine machine({.key = key,
@@ -81,13 +83,13 @@
     checker.begin_attempt(id);
     while (machine.next().kind != action_kind::read)
         static_cast<void>(
-            machine.on_event(answer_to(machine.next(), target), random));
+            machine.on_event(event_for(machine.next(), target), random));
     for (int n = 0; n < chunks; ++n) {
         const auto got =
             checker.check({id, checker.offset(), 1, "text", std::nullopt});
         stream.append(got.text);
         static_cast<void>(
-            machine.on_event(answer_to(machine.next(), target), random));
+            machine.on_event(event_for(machine.next(), target), random));
     }
     static_cast<void>(machine.on_event(
         {.kind = event_kind::completed, .output = tokens(chunks)}, random));
@@ -96,7 +98,7 @@
     return end;
 }
 
-void run_request(tables& node, std::int64_t number, random_source& random)
+void run_request(node_tables& node, std::int64_t number, random_source& random)
 {
     const request_key key = key_of(number);
     const std::string body = "{\"prompt\": \"" + key.str() + "\"}";
@@ -109,61 +111,61 @@
                                          start);
     const auto permit = node.suspects.begin(marks, start);
     node.suspects.placed(permit.run, target_id("engine-07"), target_life(1));
-    const conclusion end = drive(key, *got.stream, random);
+    const conclusion end = run_machine(key, *got.stream, random);
     node.suspects.ended(permit.run, run_end::answered, start);
     node.retries.on_success();
     node.requests.finish(team, key, end, start);
     node.requests.mark_durable(team, key);
 }
 
-double nanoseconds_since(std::chrono::steady_clock::time_point begun)
+double nanoseconds_since(std::chrono::steady_clock::time_point began)
 {
-    const auto passed = std::chrono::steady_clock::now() - begun;
-    return std::chrono::duration<double, std::nano>(passed).count();
+    const auto elapsed = std::chrono::steady_clock::now() - began;
+    return std::chrono::duration<double, std::nano>(elapsed).count();
 }
 
-/// Nanoseconds of wall time per request and thread.
-double time_requests(int threads, std::int64_t each)
+/// Wall time per request and thread, in nanoseconds.
+double time_requests(int threads, std::int64_t per_thread)
 {
-    tables node;
+    node_tables node;
     std::vector<std::thread> workers;
     workers.reserve(static_cast<std::size_t>(threads));
-    const auto begun = std::chrono::steady_clock::now();
+    const auto began = std::chrono::steady_clock::now();
     for (int n = 0; n < threads; ++n) {
-        workers.emplace_back([&node, n, each] {
+        workers.emplace_back([&node, n, per_thread] {
             random_source random(static_cast<std::uint64_t>(n));
-            for (std::int64_t k = 0; k < each; ++k)
-                run_request(node, n * each + k, random);
+            for (std::int64_t k = 0; k < per_thread; ++k)
+                run_request(node, n * per_thread + k, random);
         });
     }
     for (std::thread& it : workers)
         it.join();
-    return nanoseconds_since(begun) / static_cast<double>(each);
+    return nanoseconds_since(began) / static_cast<double>(per_thread);
 }
 
-/// Median of `repeats` runs.
-double median_time(int threads, std::int64_t each)
+/// Median of time_requests() over `repeats` runs.
+double median_time(int threads, std::int64_t per_thread)
 {
     std::vector<double> times;
     times.reserve(repeats);
     for (int n = 0; n < repeats; ++n)
-        times.push_back(time_requests(threads, each));
+        times.push_back(time_requests(threads, per_thread));
     std::ranges::sort(times);
     return times[repeats / 2];
 }
 
-/// Bytes the allocator has handed out.
-double allocated()
+/// Bytes that the allocator has handed out and not got back.
+double allocated_bytes()
 {
     const struct mallinfo2 info = mallinfo2();
     return static_cast<double>(info.uordblks) +
            static_cast<double>(info.hblkhd);
 }
 
-/// Bytes per remembered key whose answer has `text` bytes.
-double key_bytes(std::int64_t keys, std::size_t text)
+/// Bytes of memory per remembered key whose answer has `text` bytes.
+double bytes_per_key(std::int64_t keys, std::size_t text)
 {
-    const double before = allocated();
+    const double before = allocated_bytes();
     request_table table({.max_keys = 10'000'000,
                          .small_answer = text,
                          .text_memory = std::size_t(4) << 30U});
@@ -185,13 +187,13 @@
         end.reply.digest = digest128(answer);
         table.finish(team, key, end, start);
     }
-    return (allocated() - before) / static_cast<double>(keys);
+    return (allocated_bytes() - before) / static_cast<double>(keys);
 }
 
-/// Bytes per record of the suspect list.
-double record_bytes(std::int64_t records)
+/// Bytes of memory per record of the suspect list.
+double bytes_per_record(std::int64_t records)
 {
-    const double before = allocated();
+    const double before = allocated_bytes();
     suspect_list list(self, {});
     for (std::int64_t n = 0; n < records / 2; ++n) {
         const auto permit = list.begin(
@@ -199,31 +201,31 @@
         list.placed(permit.run, target_id("t"), target_life(1));
     }
     list.target_died(target_id("t"), target_life(1), start);
-    return (allocated() - before) / static_cast<double>(records);
+    return (allocated_bytes() - before) / static_cast<double>(records);
 }
 
-nlohmann::json measure(int threads, std::int64_t each)
+nlohmann::json measure(int threads, std::int64_t per_thread)
 {
     nlohmann::json report;
     for (const int n : {1, threads}) {
         report["requests"].push_back(
             {{"threads", n},
-             {"requests_per_thread", each},
+             {"requests_per_thread", per_thread},
              {"chunks", chunks},
-             {"ns_per_request", median_time(n, each)}});
+             {"ns_per_request", median_time(n, per_thread)}});
     }
     for (const std::int64_t keys : {1'000, 10'000, 100'000, 1'000'000}) {
         report["memory"].push_back(
-            {{"keys", keys}, {"bytes_per_key", key_bytes(keys, 0)}});
+            {{"keys", keys}, {"bytes_per_key", bytes_per_key(keys, 0)}});
     }
     for (const std::size_t text : {100, 1'000, 8'000}) {
         report["memory"].push_back(
             {{"keys", 10'000},
              {"text", text},
-             {"bytes_per_key", key_bytes(10'000, text)}});
+             {"bytes_per_key", bytes_per_key(10'000, text)}});
     }
     report["suspects"] = {{"records", 20'000},
-                          {"bytes_per_record", record_bytes(20'000)}};
+                          {"bytes_per_record", bytes_per_record(20'000)}};
     return report;
 }
 
@@ -251,27 +253,28 @@
 
 int run_bench_requests(int argc, char** argv)
 {
-    settings::settings wanted("bench requests",
-                              "Time and memory of a request beside its I/O.");
-    wanted.choice("format", {"text", "json"}, "how to print the figures");
-    wanted.number({.name = "threads",
-                   .fallback = 12,
-                   .low = 1,
-                   .high = 256,
-                   .unit = "threads",
-                   .help = "the larger number of threads"});
-    wanted.number({.name = "requests",
-                   .fallback = 50'000,
-                   .low = 1,
-                   .high = 1'000'000,
-                   .unit = "requests",
-                   .help = "requests per thread and run"});
-    const auto parsed = wanted.parse(argc, argv);
+    settings::settings flags("bench requests",
+                             "Time and memory per request, without its I/O.");
+    flags.choice("format", {"text", "json"}, "format of the results");
+    flags.number(
+        {.name = "threads",
+         .fallback = 12,
+         .low = 1,
+         .high = 256,
+         .unit = "threads",
+         .help = "threads of the second measurement; the first uses one"});
+    flags.number({.name = "requests",
+                  .fallback = 50'000,
+                  .low = 1,
+                  .high = 1'000'000,
+                  .unit = "requests",
+                  .help = "requests per thread and run"});
+    const auto parsed = flags.parse(argc, argv);
     if (parsed.stop)
         return parsed.exit_code;
-    const auto report = measure(static_cast<int>(wanted.number_of("threads")),
-                                wanted.number_of("requests"));
-    if (wanted.text_of("format") == "json")
+    const auto report = measure(static_cast<int>(flags.number_of("threads")),
+                                flags.number_of("requests"));
+    if (flags.text_of("format") == "json")
         std::cout << report.dump(2) << '\n';
     else
         print_text(report);
