--- a/apps/fennelladder/bench_config.cpp
+++ b/apps/fennelladder/bench_config.cpp
@@ -426,11 +426,11 @@
     const auto calls = all.platform_calls();
     const auto peers = all.peer_calls();
     all.accept(2);
-    const double taken = all.run_until_in_force(limit);
+    const double seconds_to_in_force = all.run_until_in_force(limit);
     return {
         {"nodes", nodes},
         {"case", propagation.name},
-        {"in_force_seconds", taken},
+        {"in_force_seconds", seconds_to_in_force},
         {"in_force_everywhere", all.in_force_everywhere()},
         {"platform_calls_for_change", all.platform_calls() - calls},
         {"peer_calls_for_change", all.peer_calls() - peers},
--- a/apps/fennelladder/command_apply.cpp
+++ b/apps/fennelladder/command_apply.cpp
@@ -91,23 +91,24 @@
 {
     const system_clock clock;
     const instant until = clock.now() + limit;
-    manifest::rollout seen{wanted, {}};
+    manifest::rollout progress{wanted, {}};
     while (true) {
         const auto nodes = manifest::read_statuses(store);
         if (nodes)
-            seen = manifest::rollout_of(*nodes, wanted, clock.now());
+            progress = manifest::rollout_of(*nodes, wanted, clock.now());
         else
             std::cerr << "reading node statuses: " << nodes.error().message
                       << '\n';
-        if (nodes && seen.complete())
+        if (nodes && progress.complete())
             break;
-        std::cout << seen.reached() << " of " << seen.expected() << " nodes\n";
+        std::cout << progress.reached() << " of " << progress.expected()
+                  << " nodes\n";
         if (clock.now() > until)
             break;
         pause(seconds(1));
     }
-    std::cout << manifest::to_table(seen, clock.now());
-    return seen.complete() ? exit_success : exit_failure;
+    std::cout << manifest::to_table(progress, clock.now());
+    return progress.complete() ? exit_success : exit_failure;
 }
 
 int apply(const settings::settings& flags)
--- a/apps/fennelladder/command_report.cpp
+++ b/apps/fennelladder/command_report.cpp
@@ -67,12 +67,12 @@
 std::optional<telemetry::burn_snapshot> read_nodes(const std::string& list)
 {
     http::client connections;
-    telemetry::burn_snapshot seen;
+    telemetry::burn_snapshot snapshot;
     std::size_t answered = 0;
     for (const std::string& node : split_list(list)) {
-        http::request ask;
-        ask.url = "http://" + node + "/metrics";
-        const auto page = connections.fetch(ask, metrics_deadlines);
+        http::request request;
+        request.url = "http://" + node + "/metrics";
+        const auto page = connections.fetch(request, metrics_deadlines);
         if (!page || page->status != 200) {
             std::cerr << node << ": no metrics: "
                       << (page ? "status " + std::to_string(page->status)
@@ -85,12 +85,12 @@
             std::cerr << node << ": " << part.error().message << '\n';
             continue;
         }
-        seen.merge(*part);
+        snapshot.merge(*part);
         ++answered;
     }
     if (answered == 0)
         return std::nullopt;
-    return seen;
+    return snapshot;
 }
 
 int print(const telemetry::burn_report& report, const std::string& format)
@@ -134,13 +134,13 @@
                      "required\n";
         return exit_bad_input;
     }
-    const auto seen = history.empty()
-                          ? read_nodes(nodes)
-                          : read_history(history, flags.text_of("manifest"));
-    if (!seen)
+    const auto snapshot =
+        history.empty() ? read_nodes(nodes)
+                        : read_history(history, flags.text_of("manifest"));
+    if (!snapshot)
         return history.empty() ? exit_failure : exit_bad_input;
     const auto limit = std::size_t(flags.number_of("teams"));
-    return print(telemetry::make_report(*seen, {.team_limit = limit}),
+    return print(telemetry::make_report(*snapshot, {.team_limit = limit}),
                  flags.text_of("format"));
 }
 
--- a/apps/fennelladder/command_status.cpp
+++ b/apps/fennelladder/command_status.cpp
@@ -35,12 +35,12 @@
 constexpr duration target_timeout = seconds(1);
 
 /// Forwards calls to another store and records their number, failures and
-/// latencies. Not thread safe, even if the other store is. Does not measure
+/// latencies. Not thread safe, unlike the other store. Does not measure
 /// watch(), which waits for changes.
-class measured_store final : public platform::object_store
+class instrumented_store final : public platform::object_store
 {
 public:
-    measured_store(platform::object_store& inner, const clock& time)
+    instrumented_store(platform::object_store& inner, const clock& time)
         : inner_(inner), time_(time)
     {}
 
@@ -152,10 +152,10 @@
     std::atomic<std::size_t> next{0};
     const auto query = [&] {
         for (std::size_t n = next++; n < rows.size(); n = next++) {
-            target::http_target_options with;
-            with.url = "http://" + rows[n].target.address.str();
-            with.control.first_byte = target_timeout;
-            target::http_target_client client(connections, with);
+            target::http_target_options options;
+            options.url = "http://" + rows[n].target.address.str();
+            options.control.first_byte = target_timeout;
+            target::http_target_client client(connections, options);
             rows[n].load = client.load();
         }
     };
@@ -321,7 +321,7 @@
     }
 }
 
-void print_text(const fleet_status& view, const measured_store& store)
+void print_text(const fleet_status& view, const instrumented_store& store)
 {
     if (view.accepted) {
         const auto& it = view.accepted->change;
@@ -376,7 +376,7 @@
     http::client connections;
     platform::platform_client client(connections,
                                      {.url = flags.text_of("platform")});
-    measured_store store(client, time);
+    instrumented_store store(client, time);
     const fleet_status view =
         read_fleet_status(flags, store, connections, time);
     if (flags.text_of("format") == "json") {
