--- a/apps/fennelladder/books_reader.cpp
+++ b/apps/fennelladder/books_reader.cpp
@@ -160,11 +160,11 @@
                                    const incarnation_id& writer,
                                    const topup_options& options)
 {
-    journal::shard_log_options log_options;
-    log_options.wait = options.wait;
+    journal::shard_log_options with;
+    with.wait = options.wait;
     journal::shard_log log(store, layout,
                            journal::shard_of(topup.team, layout.shards),
-                           budget::books_factory(), options.seed, log_options);
+                           budget::books_factory(), options.seed, with);
     const auto opened_at = log.read_checkpoint_position();
     if (!opened_at)
         return tl::unexpected(opened_at.error());
--- a/apps/fennelladder/command_status.cpp
+++ b/apps/fennelladder/command_status.cpp
@@ -152,10 +152,10 @@
     std::atomic<std::size_t> next{0};
     const auto query = [&] {
         for (std::size_t n = next++; n < rows.size(); n = next++) {
-            target::http_target_options options;
-            options.url = "http://" + rows[n].target.address.str();
-            options.control.first_byte = target_timeout;
-            target::http_target_client client(connections, options);
+            target::http_target_options with;
+            with.url = "http://" + rows[n].target.address.str();
+            with.control.first_byte = target_timeout;
+            target::http_target_client client(connections, with);
             rows[n].load = client.load();
         }
     };
