--- a/apps/fennelladder/command_report.cpp
+++ b/apps/fennelladder/command_report.cpp
@@ -26,7 +26,7 @@
 
 namespace {
 
-constexpr http::deadlines node_deadlines{
+constexpr http::transfer_timeouts node_deadlines{
     .connect = seconds(1), .first_byte = seconds(3), .total = seconds(10)};
 
 std::optional<telemetry::burn_snapshot>
--- a/include/fennelladder/gateway/answer_writer.hpp
+++ b/include/fennelladder/gateway/answer_writer.hpp
@@ -27,7 +27,7 @@
 namespace fennelladder::gateway {
 
 /// How an answer is written.
-struct answer_form
+struct answer_options
 {
     bool stream = false;
     std::string model;  ///< Named in a completion's answer.
@@ -52,7 +52,7 @@
 class answer_writer
 {
 public:
-    answer_writer(http::exchange& to, answer_form form);
+    answer_writer(http::exchange& to, answer_options form);
 
     /// The next piece of the answer. False if the caller has gone.
     bool text(std::string_view piece);
@@ -65,19 +65,20 @@
     void end(const request::outcome_reply& reply, const token_usage& usage);
 
     /// Ends the answer with the body of a plain service, as it is.
-    void end_call(const request::outcome_reply& reply, int status,
-                  const std::string& content_type, const std::string& body);
+    void end_service_call(const request::outcome_reply& reply, int status,
+                          const std::string& content_type,
+                          const std::string& body);
 
-    bool caller_gone() const { return gone_; }
+    bool caller_disconnected() const { return gone_; }
 
 private:
     void end_stream(const request::outcome_reply& reply,
                     const token_usage& usage);
-    std::vector<http::answer_header>
+    std::vector<http::response_header>
     headers(const request::outcome_reply& reply) const;
 
     http::exchange& to_;
-    answer_form form_;
+    answer_options form_;
     std::string whole_; // of an answer that isn't streamed
     bool begun_ = false;
     bool gone_ = false;
--- a/include/fennelladder/http/client.hpp
+++ b/include/fennelladder/http/client.hpp
@@ -63,7 +63,7 @@
 /// How long to wait for what; zero means no limit. On expiry the connection
 /// is closed and never used again, which is what frees the caller from a
 /// connection that went silent for good.
-struct deadlines
+struct transfer_timeouts
 {
     /// From the start until the connection stands.
     duration connect = milliseconds(500);
@@ -76,7 +76,7 @@
 };
 
 /// How a transfer ended.
-enum class ending : std::uint8_t
+enum class transfer_outcome : std::uint8_t
 {
     complete,      ///< The answer came whole.
     stopped,       ///< The receiver of the bytes returned false.
@@ -88,12 +88,12 @@
 };
 
 /// The stable name of an ending, such as "silent".
-std::string_view to_string(ending how);
+std::string_view to_string(transfer_outcome outcome);
 
 /// What became of a request.
 struct transfer
 {
-    ending how = ending::invalid;
+    transfer_outcome outcome = transfer_outcome::invalid;
     bool sent = false;   ///< See the head of this file.
     bool reused = false; ///< A kept connection carried it.
     int status = 0;      ///< 0 until the head of the answer came.
@@ -101,7 +101,7 @@
     std::uint64_t body_bytes = 0; ///< Of the answer, as far as it came.
     std::string message;          ///< For people; empty when complete.
 
-    bool complete() const { return how == ending::complete; }
+    bool complete() const { return outcome == transfer_outcome::complete; }
 
     /// Value of the first field of that name, or an empty string.
     std::string_view field(std::string_view name) const;
@@ -159,17 +159,18 @@
     /// Sends the request and takes in the whole answer, whatever its status.
     /// Errors: those of transfer::to_error(), and `too_large`, also
     /// ambiguous in its effect.
-    result<response> fetch(const request& what, const deadlines& limits);
+    result<response> fetch(const request& what,
+                           const transfer_timeouts& limits);
 
     /// Sends the request and passes on the answer's body as it comes.
     /// Callbacks run on the calling thread.
-    transfer stream(const request& what, const deadlines& limits,
+    transfer stream(const request& what, const transfer_timeouts& limits,
                     const byte_receiver& on_bytes,
                     const head_receiver& on_head = {},
                     const cancel_check& canceled = {});
 
     /// Closes all connections that are kept idle.
-    void forget_idle();
+    void close_idle_connections();
 
 private:
     class connection_pool;
--- a/include/fennelladder/http/server.hpp
+++ b/include/fennelladder/http/server.hpp
@@ -56,18 +56,18 @@
 };
 
 /// A header of an answer.
-struct answer_header
+struct response_header
 {
     std::string name;
     std::string value;
 };
 
 /// A whole answer.
-struct answer
+struct server_response
 {
     int status = 200;
     std::string content_type = "application/json";
-    std::vector<answer_header> headers = {};
+    std::vector<response_header> headers = {};
     std::string body = {};
 };
 
@@ -95,10 +95,10 @@
     result<std::string> read_body();
 
     /// Answers at once. Precondition: nothing was answered yet.
-    void reply(const answer& what);
+    void reply(const server_response& what);
 
     /// Starts an answer in chunks. False if the caller has gone.
-    bool begin_stream(const answer& head);
+    bool begin_stream(const server_response& head);
 
     /// Writes one chunk. False if the caller has gone.
     bool write(std::string_view bytes);
--- a/include/fennelladder/node/fault_links.hpp
+++ b/include/fennelladder/node/fault_links.hpp
@@ -70,9 +70,9 @@
         : inner_(inner), links_(links)
     {}
 
-    result<std::string> ask(const peer::peer_address& to, peer::topic what,
-                            std::string_view message,
-                            duration timeout) override;
+    result<std::string> send_request(const peer::peer_address& to,
+                                     peer::topic what, std::string_view message,
+                                     duration timeout) override;
 
 private:
     peer::peer_network& inner_;
--- a/include/fennelladder/peer/local_peers.hpp
+++ b/include/fennelladder/peer/local_peers.hpp
@@ -13,15 +13,15 @@
 
 /// Nodes that reach each other by direct call. Thread safe; no lock is held
 /// while a handler runs.
-class local_peers final : public peer_network
+class local_peer_network final : public peer_network
 {
 public:
     /// Makes `handler` reachable at `address`; nullptr makes it unreachable.
     void serve(const peer_address& address, peer_handler* handler);
 
-    result<std::string> ask(const peer_address& to, topic what,
-                            std::string_view message,
-                            duration timeout) override;
+    result<std::string> send_request(const peer_address& to, topic what,
+                                     std::string_view message,
+                                     duration timeout) override;
 
 private:
     std::mutex mutex_;
--- a/include/fennelladder/peer/messages.hpp
+++ b/include/fennelladder/peer/messages.hpp
@@ -17,54 +17,54 @@
 namespace fennelladder::peer {
 
 /// Records for the hinted owner of a shard.
-struct append_question
+struct append_request
 {
     shard_id shard;
     std::vector<journal::record> records;
 };
 
 /// Thread safe, as the others. decode_* fail with `corrupt`.
-std::string encode(const append_question& message);
-result<append_question> decode_append_question(std::string_view bytes);
+std::string encode(const append_request& message);
+result<append_request> decode_append_request(std::string_view bytes);
 
 std::string encode(const std::vector<journal::applied_record>& applied);
 result<std::vector<journal::applied_record>>
-decode_append_answer(std::string_view bytes);
+decode_append_response(std::string_view bytes);
 
 /// An ask for tokens, or the taker's last word on one.
-using transfer_question =
+using transfer_request =
     std::variant<budget::transfer_ask, budget::transfer_confirm>;
 
-std::string encode(const transfer_question& message);
-result<transfer_question> decode_transfer_question(std::string_view bytes);
+std::string encode(const transfer_request& message);
+result<transfer_request> decode_transfer_request(std::string_view bytes);
 
 std::string encode(const budget::transfer_reply& answer);
-result<budget::transfer_reply> decode_transfer_answer(std::string_view bytes);
+result<budget::transfer_reply> decode_transfer_response(std::string_view bytes);
 
 /// Answered by a yes or a no.
 std::string encode(const budget::ceiling_ask& message);
-result<budget::ceiling_ask> decode_witness_question(std::string_view bytes);
+result<budget::ceiling_ask> decode_witness_request(std::string_view bytes);
 
 /// Answered by a yes or a no.
 std::string encode(const budget::copy_message& message);
-result<budget::copy_message> decode_copies_question(std::string_view bytes);
+result<budget::copy_message> decode_copies_request(std::string_view bytes);
 
-std::string encode_yes(bool yes);
-result<bool> decode_yes(std::string_view bytes);
+std::string encode_bool(bool yes);
+result<bool> decode_bool(std::string_view bytes);
 
 /// Records that `sender` witnessed.
-struct suspects_question
+struct suspects_request
 {
     incarnation_id sender;
     std::vector<request::suspect_record> records;
 };
 
-std::string encode(const suspects_question& message);
-result<suspects_question> decode_suspects_question(std::string_view bytes);
+std::string encode(const suspects_request& message);
+result<suspects_request> decode_suspects_request(std::string_view bytes);
 
 std::string encode(const std::vector<request::suspect_ack>& acks);
 result<std::vector<request::suspect_ack>>
-decode_suspects_answer(std::string_view bytes);
+decode_suspects_response(std::string_view bytes);
 
 } // namespace fennelladder::peer
 
--- a/include/fennelladder/peer/peer_service.hpp
+++ b/include/fennelladder/peer/peer_service.hpp
@@ -4,11 +4,13 @@
 // peers only carry them. Every message must be harmless when it arrives twice
 // or late, since a lost answer can't be told from a lost question.
 //
-//     result<std::string> answer = peers.ask(address, topic::heartbeat,
+//     result<std::string> answer = peers.send_request(address,
+//     topic::heartbeat,
 //                                            encode(message), seconds(1));
 //
-// Errors of ask(): `unavailable` (it never left this node), `ambiguous` (it
-// may have been acted on), and whatever the other node's handler failed with.
+// Errors of send_request(): `unavailable` (it never left this node),
+// `ambiguous` (it may have been acted on), and whatever the other node's
+// handler failed with.
 
 #ifndef FENNELLADDER_PEER_PEER_SERVICE_HPP
 #define FENNELLADDER_PEER_PEER_SERVICE_HPP
@@ -53,8 +55,8 @@
     virtual ~peer_handler() = default;
 
     /// Answers one question, within the time that the asker waits.
-    virtual result<std::string> answer(topic what,
-                                       std::string_view message) = 0;
+    virtual result<std::string> handle_request(topic what,
+                                               std::string_view message) = 0;
 };
 
 /// Asks other nodes. Implementations are thread safe.
@@ -64,9 +66,9 @@
     virtual ~peer_network() = default;
 
     /// Asks the node at `to` and waits up to `timeout` for its answer.
-    virtual result<std::string> ask(const peer_address& to, topic what,
-                                    std::string_view message,
-                                    duration timeout) = 0;
+    virtual result<std::string> send_request(const peer_address& to, topic what,
+                                             std::string_view message,
+                                             duration timeout) = 0;
 };
 
 } // namespace fennelladder::peer
--- a/include/fennelladder/peer/thrift_peers.hpp
+++ b/include/fennelladder/peer/thrift_peers.hpp
@@ -2,7 +2,8 @@
 //
 //     auto server = thrift_peer_server::start("127.0.0.1:0", handler, {});
 //     thrift_peer_network peers({});
-//     peers.ask(server.value()->address(), topic::heartbeat, bytes, limit);
+//     peers.send_request(server.value()->address(), topic::heartbeat, bytes,
+//     limit);
 //
 // Connections are kept and used again. One that goes silent is dropped at the
 // question's timeout together with all idle ones to the same node, since
@@ -66,7 +67,7 @@
 /// Bytes and questions carried since the start.
 struct peer_traffic
 {
-    std::uint64_t questions = 0;
+    std::uint64_t requests = 0;
     std::uint64_t failures = 0;
     std::uint64_t bytes_sent = 0;
     std::uint64_t bytes_received = 0;
@@ -79,9 +80,9 @@
     explicit thrift_peer_network(const peer_network_options& options);
     ~thrift_peer_network() override;
 
-    result<std::string> ask(const peer_address& to, topic what,
-                            std::string_view message,
-                            duration timeout) override;
+    result<std::string> send_request(const peer_address& to, topic what,
+                                     std::string_view message,
+                                     duration timeout) override;
 
     peer_traffic traffic() const;
 
--- a/include/fennelladder/target/http_target_client.hpp
+++ b/include/fennelladder/target/http_target_client.hpp
@@ -20,20 +20,20 @@
     std::string url; ///< "http://IP:PORT", no slash at the end.
     /// For streams; first_byte spans the time in the engine's queue unless
     /// the engine sends comments meanwhile.
-    http::deadlines stream{.connect = milliseconds(500),
-                           .first_byte = seconds(5),
-                           .between_bytes = seconds(2),
-                           .total = duration(0)};
+    http::transfer_timeouts stream{.connect = milliseconds(500),
+                                   .first_byte = seconds(5),
+                                   .between_bytes = seconds(2),
+                                   .total = duration(0)};
     /// For service calls.
-    http::deadlines call{.connect = milliseconds(500),
-                         .first_byte = seconds(10),
-                         .between_bytes = seconds(2),
-                         .total = seconds(30)};
+    http::transfer_timeouts call{.connect = milliseconds(500),
+                                 .first_byte = seconds(10),
+                                 .between_bytes = seconds(2),
+                                 .total = seconds(30)};
     /// For load, events, orders and the like.
-    http::deadlines control{.connect = milliseconds(500),
-                            .first_byte = seconds(2),
-                            .between_bytes = seconds(2),
-                            .total = seconds(10)};
+    http::transfer_timeouts control{.connect = milliseconds(500),
+                                    .first_byte = seconds(2),
+                                    .between_bytes = seconds(2),
+                                    .total = seconds(10)};
     /// For probe().
     duration probe_timeout = milliseconds(500);
 };
--- a/libs/gateway/answer_writer.cpp
+++ b/libs/gateway/answer_writer.cpp
@@ -95,14 +95,14 @@
     return dump(body);
 }
 
-answer_writer::answer_writer(http::exchange& to, answer_form form)
+answer_writer::answer_writer(http::exchange& to, answer_options form)
     : to_(to), form_(std::move(form))
 {}
 
-std::vector<http::answer_header>
+std::vector<http::response_header>
 answer_writer::headers(const outcome_reply& reply) const
 {
-    std::vector<http::answer_header> all{
+    std::vector<http::response_header> all{
         {header_name::outcome, std::string(to_string(reply.result))},
         {header_name::code, std::string(to_string(reply.code))},
         {header_name::key, reply.key.str()},
@@ -128,7 +128,7 @@
         return false;
     if (!begun_) {
         begun_ = true;
-        http::answer head;
+        http::server_response head;
         head.content_type = "text/event-stream";
         head.headers = {{"Cache-Control", "no-store"},
                         {header_name::key, form_.key.str()}};
@@ -186,7 +186,8 @@
         text("");
         return end_stream(reply, usage);
     }
-    http::answer made{.status = status_of(reply), .headers = headers(reply)};
+    http::server_response made{.status = status_of(reply),
+                               .headers = headers(reply)};
     if (whole) {
         ordered_json body;
         body["id"] = form_.key.str();
@@ -202,9 +203,9 @@
     to_.reply(made);
 }
 
-void answer_writer::end_call(const outcome_reply& reply, int status,
-                             const std::string& content_type,
-                             const std::string& body)
+void answer_writer::end_service_call(const outcome_reply& reply, int status,
+                                     const std::string& content_type,
+                                     const std::string& body)
 {
     if (reply.result != outcome::answered || reply.code != reply_code::ok)
         return end(reply, {});
--- a/libs/http/client.cpp
+++ b/libs/http/client.cpp
@@ -207,7 +207,7 @@
 class exchange
 {
 public:
-    exchange(session& on, const request& what, const deadlines& limits,
+    exchange(session& on, const request& what, const transfer_timeouts& limits,
              const client_options& options, const byte_receiver& on_bytes,
              const head_receiver& on_head, const cancel_check& canceled)
         : session_(on), what_(what), limits_(limits), options_(options),
@@ -283,7 +283,8 @@
             if (left <= duration(0))
                 return expire();
             if (canceled_ && canceled_())
-                return end(ending::canceled, "canceled by the caller");
+                return end(transfer_outcome::canceled,
+                           "canceled by the caller");
             wait(left);
         }
     }
@@ -331,14 +332,15 @@
     void expire()
     {
         if (so_far_.sent)
-            return end(ending::silent, received_ ? "no bytes within deadline"
-                                                 : "no answer within deadline");
-        end(ending::not_connected, "no connection within deadline");
+            return end(transfer_outcome::silent,
+                       received_ ? "no bytes within deadline"
+                                 : "no answer within deadline");
+        end(transfer_outcome::not_connected, "no connection within deadline");
     }
 
-    void end(ending how, std::string message)
+    void end(transfer_outcome outcome, std::string message)
     {
-        so_far_.how = how;
+        so_far_.outcome = outcome;
         so_far_.message = std::move(message);
     }
 
@@ -353,8 +355,9 @@
         if (ec == CURLE_OK)
             return finish_whole();
         if (stopped_)
-            return end(ending::stopped, "stopped by the receiver");
-        end(so_far_.sent ? ending::broken : ending::not_connected,
+            return end(transfer_outcome::stopped, "stopped by the receiver");
+        end(so_far_.sent ? transfer_outcome::broken
+                         : transfer_outcome::not_connected,
             curl_easy_strerror(ec));
     }
 
@@ -367,8 +370,8 @@
         const bool framed = !so_far_.field("Content-Length").empty() ||
                             !so_far_.field("Transfer-Encoding").empty();
         if (bodiless || framed)
-            return end(ending::complete, {});
-        end(ending::broken, "answer without a length");
+            return end(transfer_outcome::complete, {});
+        end(transfer_outcome::broken, "answer without a length");
     }
 
     bool take_head_line(std::string_view line)
@@ -441,7 +444,7 @@
 
     session& session_;
     const request& what_;
-    const deadlines& limits_;
+    const transfer_timeouts& limits_;
     const client_options& options_;
     const byte_receiver& on_bytes_;
     const head_receiver& on_head_;
@@ -456,22 +459,22 @@
 
 } // namespace
 
-std::string_view to_string(ending how)
+std::string_view to_string(transfer_outcome outcome)
 {
-    switch (how) {
-    case ending::complete:
+    switch (outcome) {
+    case transfer_outcome::complete:
         return "complete";
-    case ending::stopped:
+    case transfer_outcome::stopped:
         return "stopped";
-    case ending::canceled:
+    case transfer_outcome::canceled:
         return "canceled";
-    case ending::not_connected:
+    case transfer_outcome::not_connected:
         return "not_connected";
-    case ending::silent:
+    case transfer_outcome::silent:
         return "silent";
-    case ending::broken:
+    case transfer_outcome::broken:
         return "broken";
-    case ending::invalid:
+    case transfer_outcome::invalid:
         break;
     }
     return "invalid";
@@ -490,12 +493,12 @@
 error transfer::to_error() const
 {
     assert(!complete());
-    const std::string text = std::string(to_string(how)) + ": " + message;
-    if (how == ending::invalid)
+    const std::string text = std::string(to_string(outcome)) + ": " + message;
+    if (outcome == transfer_outcome::invalid)
         return {error_code::invalid, text};
     if (sent)
         return {error_code::ambiguous, text};
-    if (how == ending::canceled)
+    if (outcome == transfer_outcome::canceled)
         return {error_code::canceled, text};
     return {error_code::unavailable, text};
 }
@@ -560,7 +563,7 @@
 
 client::~client() = default;
 
-transfer client::stream(const request& what, const deadlines& limits,
+transfer client::stream(const request& what, const transfer_timeouts& limits,
                         const byte_receiver& on_bytes,
                         const head_receiver& on_head,
                         const cancel_check& canceled)
@@ -581,7 +584,8 @@
     return end;
 }
 
-result<response> client::fetch(const request& what, const deadlines& limits)
+result<response> client::fetch(const request& what,
+                               const transfer_timeouts& limits)
 {
     response answer;
     const auto take = [&](std::string_view bytes) {
@@ -589,7 +593,7 @@
         return answer.body.size() <= options_.max_body_bytes;
     };
     transfer end = stream(what, limits, take);
-    if (end.how == ending::stopped)
+    if (end.outcome == transfer_outcome::stopped)
         return fail(error_code::too_large, "answer of " + what.url);
     if (!end.complete())
         return tl::unexpected(end.to_error());
@@ -598,7 +602,7 @@
     return answer;
 }
 
-void client::forget_idle()
+void client::close_idle_connections()
 {
     pool_->clear();
 }
--- a/libs/http/client_test.cpp
+++ b/libs/http/client_test.cpp
@@ -10,15 +10,15 @@
 
 // What comes may take its time on a busy machine; only where nothing will
 // come, or nothing more, the wait is short.
-const deadlines patient{.connect = seconds(30),
-                        .first_byte = seconds(30),
-                        .between_bytes = seconds(30),
-                        .total = seconds(60)};
-const deadlines brisk_start{.connect = seconds(30),
-                            .first_byte = milliseconds(40)};
-const deadlines brisk_middle{.connect = seconds(30),
-                             .first_byte = seconds(30),
-                             .between_bytes = milliseconds(40)};
+const transfer_timeouts patient{.connect = seconds(30),
+                                .first_byte = seconds(30),
+                                .between_bytes = seconds(30),
+                                .total = seconds(60)};
+const transfer_timeouts brisk_start{.connect = seconds(30),
+                                    .first_byte = milliseconds(40)};
+const transfer_timeouts brisk_middle{.connect = seconds(30),
+                                     .first_byte = seconds(30),
+                                     .between_bytes = milliseconds(40)};
 
 const std::string chunked =
     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -27,7 +27,7 @@
 {
     const char* name;
     step does;
-    ending how;
+    transfer_outcome outcome;
     std::uint64_t body_bytes;
     bool used_again; // The connection serves the next request.
 };
@@ -43,36 +43,40 @@
 TEST(http_client, tells_how_each_answer_ended)
 {
     const std::vector<answer_case> cases = {
-        {"whole", {ok("12345")}, ending::complete, 5, true},
+        {"whole", {ok("12345")}, transfer_outcome::complete, 5, true},
         {"whole in chunks",
          {chunked + "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"},
-         ending::complete,
+         transfer_outcome::complete,
          5,
          true},
         {"error status is an answer",
          {"HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nno"},
-         ending::complete,
+         transfer_outcome::complete,
          2,
          true},
         {"closed without an answer",
          {"", after::close},
-         ending::broken,
+         transfer_outcome::broken,
+         0,
+         false},
+        {"silent from the start",
+         {"", after::hang},
+         transfer_outcome::silent,
          0,
          false},
-        {"silent from the start", {"", after::hang}, ending::silent, 0, false},
         {"silent in the middle",
          {chunked + "3\r\nabc\r\n", after::hang},
-         ending::silent,
+         transfer_outcome::silent,
          3,
          false},
         {"cut in the middle",
          {chunked + "3\r\nabc\r\n", after::close},
-         ending::broken,
+         transfer_outcome::broken,
          3,
          false},
         {"end not marked",
          {"HTTP/1.1 200 OK\r\n\r\nabc", after::close},
-         ending::broken,
+         transfer_outcome::broken,
          3,
          false},
     };
@@ -84,7 +88,7 @@
         const transfer end =
             asks.stream({.url = server.url()}, hangs ? brisk : patient,
                         [](auto) { return true; });
-        CHECK_TEXT(end.how == it.how, it.name);
+        CHECK_TEXT(end.outcome == it.outcome, it.name);
         CHECK_TEXT(end.sent, it.name);
         CHECK_TEXT(end.body_bytes == it.body_bytes, it.name);
         if (!end.complete())
@@ -109,7 +113,7 @@
         CHECK_TEXT(asks.fetch(what, patient).has_value(), method);
         const transfer end =
             asks.stream(what, patient, [](auto) { return true; });
-        CHECK_TEXT(end.how == ending::broken, method);
+        CHECK_TEXT(end.outcome == transfer_outcome::broken, method);
         CHECK_TEXT(end.sent, method);
         LONGS_EQUAL_TEXT(2, server.requests(), method);
         LONGS_EQUAL_TEXT(1, server.connections(), method);
@@ -153,10 +157,10 @@
     client asks;
     const request what{.url = server.url()};
     const auto end = asks.stream(what, {}, [](auto) { return false; });
-    CHECK(end.how == ending::stopped);
+    CHECK(end.outcome == transfer_outcome::stopped);
     const auto other = asks.stream(
         what, {}, [](auto) { return true; }, {}, [] { return true; });
-    CHECK(other.how == ending::canceled);
+    CHECK(other.outcome == transfer_outcome::canceled);
 }
 
 TEST(http_client, refuses_what_it_can_not_put_on_the_wire)
--- a/libs/http/server.cpp
+++ b/libs/http/server.cpp
@@ -71,12 +71,12 @@
                    R"(stops"},"outcome":"not_run"})");
 }
 
-std::string head_text(mg_connection* connection, const answer& head)
+std::string head_text(mg_connection* connection, const server_response& head)
 {
     std::string text = "HTTP/1.1 " + std::to_string(head.status) + " ";
     text += mg_get_response_code_text(connection, head.status);
     text += "\r\nContent-Type: " + head.content_type + "\r\n";
-    for (const answer_header& it : head.headers)
+    for (const response_header& it : head.headers)
         text += it.name + ": " + it.value + "\r\n";
     return text;
 }
@@ -167,7 +167,7 @@
     return body;
 }
 
-void exchange::reply(const answer& what)
+void exchange::reply(const server_response& what)
 {
     assert(!answered_);
     answered_ = true;
@@ -177,7 +177,7 @@
     mg_write(connection_, text.data(), text.size());
 }
 
-bool exchange::begin_stream(const answer& head)
+bool exchange::begin_stream(const server_response& head)
 {
     assert(!answered_);
     answered_ = true;
--- a/libs/http/server_test.cpp
+++ b/libs/http/server_test.cpp
@@ -104,7 +104,7 @@
             {.url = "http://" + (*made)->address() + "/" + path},
             {.first_byte = seconds(60), .between_bytes = seconds(60)},
             [](auto) { return true; });
-        CHECK_TEXT(end.how == ending::broken, path);
+        CHECK_TEXT(end.outcome == transfer_outcome::broken, path);
     }
 }
 
@@ -170,7 +170,8 @@
         written = it.write("two");
     });
     const request what{.url = "http://" + (*made)->address() + "/"};
-    const deadlines patient{.first_byte = hours(1), .between_bytes = hours(1)};
+    const transfer_timeouts patient{.first_byte = hours(1),
+                                    .between_bytes = hours(1)};
     transfer end;
     std::thread caller([&] {
         client asks;
@@ -180,7 +181,7 @@
         std::this_thread::yield();
     (*made)->abort();
     caller.join();
-    CHECK(end.how == ending::broken);
+    CHECK(end.outcome == transfer_outcome::broken);
     client asks;
     CHECK(asks.fetch(what, {}).error().code == error_code::unavailable);
     go_on = true;
--- a/libs/node/caller_api.cpp
+++ b/libs/node/caller_api.cpp
@@ -49,7 +49,7 @@
     if (retry_after > duration(0))
         body["retry_after_ms"] =
             std::chrono::ceil<milliseconds>(retry_after).count();
-    http::answer made{
+    http::server_response made{
         .status = status,
         .headers = {{gateway::header_name::outcome, "not_run"},
                     {gateway::header_name::code, std::string(code)}},
@@ -383,7 +383,7 @@
     auto what = check(call->head, config, found);
     if (!what || !check_completion(*call, config, *what, found))
         return reply_refused(it, 403, "not_allowed", found);
-    gateway::answer_form form;
+    gateway::answer_options form;
     form.stream = call->stream;
     form.model = call->model.str();
     carry(it, std::move(*what), form, *body);
@@ -410,9 +410,10 @@
 }
 
 void caller_api::carry(http::exchange& it, runnable what,
-                       const gateway::answer_form& asked, std::string_view body)
+                       const gateway::answer_options& asked,
+                       std::string_view body)
 {
-    gateway::answer_form form = asked;
+    gateway::answer_options form = asked;
     form.key = what.head.key;
     form.origin = what.head.origin.str();
     if (what.arrival.binding == request::key_binding::made_here)
@@ -466,12 +467,12 @@
                    {gateway::header_name::request, what.head.request.str()},
                    {forwarded, tools_.self.str()}};
     const duration left = what.deadline - tools_.time.now();
-    http::deadlines limits{.first_byte = left, .between_bytes = left};
+    http::transfer_timeouts limits{.first_byte = left, .between_bytes = left};
     limits.total = left;
     bool begun = false;
     bool alive = true;
     const auto begin = [&](const http::transfer& head) {
-        http::answer out{.status = head.status};
+        http::server_response out{.status = head.status};
         out.content_type = std::string(head.field("Content-Type"));
         for (const char* name :
              {gateway::header_name::outcome, gateway::header_name::code,
@@ -517,7 +518,7 @@
     }
     auto reply = request::journal_reply(what.head.key, origin, recorded,
                                         origin_lost_retry);
-    gateway::answer_form form;
+    gateway::answer_options form;
     form.key = what.head.key;
     form.origin = what.head.origin.str();
     gateway::answer_writer out(it, form);
@@ -527,13 +528,13 @@
         digest.add(kept);
         reply.code = reply_code::ok;
         reply.digest = digest.text();
-        return out.end_call(reply, 200, "application/json", kept);
+        return out.end_service_call(reply, 200, "application/json", kept);
     }
     out.end(reply, {});
 }
 
 void caller_api::run_here(http::exchange& it, runnable& what,
-                          const gateway::answer_form& form,
+                          const gateway::answer_options& form,
                           std::string_view body)
 {
     gateway::answer_writer out(it, form);
@@ -567,8 +568,8 @@
             }
             count(what, reply, pace);
             if (whole)
-                out.end_call(reply, run.result().status,
-                             run.result().content_type, text);
+                out.end_service_call(reply, run.result().status,
+                                     run.result().content_type, text);
             else
                 out.end(reply, run.result().usage);
             return;
@@ -581,8 +582,8 @@
             continue;
         case admit_verdict::replay:
             if (what.is_call)
-                out.end_call(admitted.reply, 200, "application/json",
-                             admitted.text);
+                out.end_service_call(admitted.reply, 200, "application/json",
+                                     admitted.text);
             else {
                 out.text(admitted.text);
                 out.end(admitted.reply, {});
@@ -620,10 +621,11 @@
         if (part.reply) {
             count(what, *part.reply, pace);
             if (what.is_call)
-                return out.end_call(*part.reply, 200, "application/json", text);
+                return out.end_service_call(*part.reply, 200,
+                                            "application/json", text);
             return out.end(*part.reply, {});
         }
-        if (out.caller_gone())
+        if (out.caller_disconnected())
             return admitted.stream->leave();
     }
 }
--- a/libs/node/caller_api.hpp
+++ b/libs/node/caller_api.hpp
@@ -48,9 +48,9 @@
                     const manifest_pointer& config, runnable& what,
                     findings& found);
     void carry(http::exchange& it, runnable what,
-               const gateway::answer_form& form, std::string_view body);
+               const gateway::answer_options& form, std::string_view body);
     void run_here(http::exchange& it, runnable& what,
-                  const gateway::answer_form& form, std::string_view body);
+                  const gateway::answer_options& form, std::string_view body);
     void join(const request::admission& admitted, gateway::answer_writer& out,
               const runnable& what);
     bool forward(http::exchange& it, const runnable& what,
--- a/libs/node/configuration_service.cpp
+++ b/libs/node/configuration_service.cpp
@@ -89,8 +89,8 @@
     const auto peer = members_.find(what.peer);
     if (!peer)
         return finish(what, fail(error_code::unavailable, "peer is gone"));
-    finish(what, peers_.ask(peer->address, peer::topic::configuration,
-                            what.part.str(), peer_timeout));
+    finish(what, peers_.send_request(peer->address, peer::topic::configuration,
+                                     what.part.str(), peer_timeout));
 }
 
 void configuration_service::finish(const manifest::fetch& what,
--- a/libs/node/fault_links.cpp
+++ b/libs/node/fault_links.cpp
@@ -58,13 +58,14 @@
     return unless_cut([&] { return inner_.watch(prefix, revision, wait); });
 }
 
-result<std::string> cut_peers::ask(const peer::peer_address& to,
-                                   peer::topic what, std::string_view message,
-                                   duration timeout)
+result<std::string> cut_peers::send_request(const peer::peer_address& to,
+                                            peer::topic what,
+                                            std::string_view message,
+                                            duration timeout)
 {
     if (links_.peers_are_cut())
         return cut(error_code::unavailable);
-    auto answer = inner_.ask(to, what, message, timeout);
+    auto answer = inner_.send_request(to, what, message, timeout);
     if (links_.peers_are_cut())
         return cut(error_code::ambiguous);
     return answer;
--- a/libs/node/ledger_service.cpp
+++ b/libs/node/ledger_service.cpp
@@ -42,12 +42,12 @@
     const auto peer = members_.find(owner);
     if (!peer)
         return fail(error_code::unavailable, "owner is away");
-    const auto answer = peers_.ask(
+    const auto answer = peers_.send_request(
         peer->address, peer::topic::append,
-        peer::encode(peer::append_question{shard, records}), forward_timeout);
+        peer::encode(peer::append_request{shard, records}), forward_timeout);
     if (!answer)
         return tl::unexpected(answer.error());
-    return peer::decode_append_answer(*answer);
+    return peer::decode_append_response(*answer);
 }
 
 ledger_service::ledger_service(const node_options& options,
@@ -83,8 +83,8 @@
         if (!it.serving)
             continue;
         ++asked;
-        const auto bytes =
-            peers_.ask(it.address, peer::topic::layout, {}, ask_timeout);
+        const auto bytes = peers_.send_request(it.address, peer::topic::layout,
+                                               {}, ask_timeout);
         if (!bytes)
             continue;
         if (auto read = journal::adopt_layout(*bytes, wanted, found))
@@ -282,11 +282,11 @@
 {
     std::optional<budget::transfer_reply> reply;
     if (const auto peer = members_.find(ask.giver)) {
-        const auto bytes =
-            peers_.ask(peer->address, peer::topic::transfer,
-                       peer::encode(peer::transfer_question(ask)), ask_timeout);
+        const auto bytes = peers_.send_request(
+            peer->address, peer::topic::transfer,
+            peer::encode(peer::transfer_request(ask)), ask_timeout);
         if (bytes) {
-            if (auto read = peer::decode_transfer_answer(*bytes))
+            if (auto read = peer::decode_transfer_response(*bytes))
                 reply = *read;
         }
     }
@@ -301,8 +301,9 @@
     const auto peer = members_.find(word.giver);
     if (!peer)
         return;
-    if (peers_.ask(peer->address, peer::topic::transfer,
-                   peer::encode(peer::transfer_question(word)), ask_timeout))
+    if (peers_.send_request(peer->address, peer::topic::transfer,
+                            peer::encode(peer::transfer_request(word)),
+                            ask_timeout))
         agent_->on_word_taken(word);
 }
 
@@ -310,10 +311,11 @@
 {
     bool agreed = false;
     if (const auto peer = members_.find(ask.witness)) {
-        const auto bytes = peers_.ask(peer->address, peer::topic::witness,
-                                      peer::encode(ask), ask_timeout);
+        const auto bytes =
+            peers_.send_request(peer->address, peer::topic::witness,
+                                peer::encode(ask), ask_timeout);
         if (bytes)
-            agreed = peer::decode_yes(*bytes).value_or(false);
+            agreed = peer::decode_bool(*bytes).value_or(false);
     }
     budget::agent_output out;
     agent_->on_ceiling(ask, agreed, clock_.now(), out);
@@ -330,10 +332,11 @@
     }
     bool kept = false;
     if (const auto peer = members_.find(keeper)) {
-        const auto bytes = peers_.ask(peer->address, peer::topic::keep_bills,
-                                      peer::encode(copies), ask_timeout);
+        const auto bytes =
+            peers_.send_request(peer->address, peer::topic::keep_bills,
+                                peer::encode(copies), ask_timeout);
         if (bytes)
-            kept = peer::decode_yes(*bytes).value_or(false);
+            kept = peer::decode_bool(*bytes).value_or(false);
     }
     agent_->on_copied(copies, kept);
 }
@@ -479,7 +482,7 @@
 {
     if (!open_)
         return fail(error_code::unavailable, "not open yet");
-    auto asked = peer::decode_append_question(bytes);
+    auto asked = peer::decode_append_request(bytes);
     if (!asked)
         return tl::unexpected(asked.error());
     using answer = result<std::vector<journal::applied_record>>;
@@ -505,7 +508,7 @@
 {
     if (!open_)
         return fail(error_code::unavailable, "not open yet");
-    const auto asked = peer::decode_transfer_question(bytes);
+    const auto asked = peer::decode_transfer_request(bytes);
     if (!asked)
         return tl::unexpected(asked.error());
     if (const auto* word = std::get_if<budget::transfer_confirm>(&*asked)) {
@@ -523,20 +526,20 @@
 {
     if (!open_)
         return fail(error_code::unavailable, "not open yet");
-    const auto asked = peer::decode_witness_question(bytes);
+    const auto asked = peer::decode_witness_request(bytes);
     if (!asked)
         return tl::unexpected(asked.error());
-    return peer::encode_yes(agent_->vouch(*asked));
+    return peer::encode_bool(agent_->vouch(*asked));
 }
 
 result<std::string> ledger_service::on_copies(std::string_view bytes)
 {
     if (!open_)
         return fail(error_code::unavailable, "not open yet");
-    const auto asked = peer::decode_copies_question(bytes);
+    const auto asked = peer::decode_copies_request(bytes);
     if (!asked)
         return tl::unexpected(asked.error());
-    return peer::encode_yes(agent_->keep_copies(*asked));
+    return peer::encode_bool(agent_->keep_copies(*asked));
 }
 
 result<std::string> ledger_service::on_layout() const
--- a/libs/node/member_service.cpp
+++ b/libs/node/member_service.cpp
@@ -120,8 +120,8 @@
 void member_service::send(const membership::outgoing& it)
 {
     const auto bytes =
-        peers_.ask(it.peer_address, peer::topic::heartbeat,
-                   membership::encode(it.message), heartbeat_timeout);
+        peers_.send_request(it.peer_address, peer::topic::heartbeat,
+                            membership::encode(it.message), heartbeat_timeout);
     if (!bytes) {
         const std::lock_guard lock(mutex_);
         table_->send_failed(it.host, clock_.now());
--- a/libs/node/node.cpp
+++ b/libs/node/node.cpp
@@ -62,8 +62,8 @@
 {
     parts(const node_options& with, const clock& time);
 
-    result<std::string> answer(peer::topic what,
-                               std::string_view message) override;
+    result<std::string> handle_request(peer::topic what,
+                                       std::string_view message) override;
     status listen();
     void start_work();
     void on_configuration(const manifest_pointer& config);
@@ -154,8 +154,8 @@
             [this] { push_suspects(); }};
 }
 
-result<std::string> node::parts::answer(peer::topic what,
-                                        std::string_view message)
+result<std::string> node::parts::handle_request(peer::topic what,
+                                                std::string_view message)
 {
     if (links.peers_are_cut())
         return fail(error_code::unavailable, "the link is cut");
@@ -173,7 +173,7 @@
     case peer::topic::configuration:
         return config.answer(message);
     case peer::topic::suspects: {
-        const auto asked = peer::decode_suspects_question(message);
+        const auto asked = peer::decode_suspects_request(message);
         if (!asked)
             return tl::unexpected(asked.error());
         return peer::encode(suspects.merge(asked->records, time.now()));
@@ -281,13 +281,13 @@
         if (pending.empty())
             continue;
         suspect_calls.post([this, to = it, pending = std::move(pending)] {
-            const auto bytes =
-                peers.ask(to.address, peer::topic::suspects,
-                          peer::encode(peer::suspects_question{self, pending}),
-                          suspect_timeout);
+            const auto bytes = peers.send_request(
+                to.address, peer::topic::suspects,
+                peer::encode(peer::suspects_request{self, pending}),
+                suspect_timeout);
             if (!bytes)
                 return;
-            if (const auto acks = peer::decode_suspects_answer(*bytes))
+            if (const auto acks = peer::decode_suspects_response(*bytes))
                 suspects.on_ack(to.life, *acks);
         });
     }
--- a/libs/peer/budget_messages.cpp
+++ b/libs/peer/budget_messages.cpp
@@ -49,24 +49,24 @@
 
 } // namespace
 
-std::string encode(const transfer_question& message)
+std::string encode(const transfer_request& message)
 {
     return std::visit([](const auto& it) { return to_bytes(to_wire(it)); },
                       message);
 }
 
-result<transfer_question> decode_transfer_question(std::string_view bytes)
+result<transfer_request> decode_transfer_request(std::string_view bytes)
 {
     wire::transfer_question in;
     if (auto ok = from_bytes(bytes, in); !ok)
         return tl::unexpected(ok.error());
     if (in.word)
-        return transfer_question(
+        return transfer_request(
             budget::transfer_confirm{.taker = incarnation_id(in.taker),
                                      .giver = incarnation_id(in.giver),
                                      .ask = to_unsigned(in.number),
                                      .credited = in.credited});
-    return transfer_question(
+    return transfer_request(
         budget::transfer_ask{.taker = incarnation_id(in.taker),
                              .giver = incarnation_id(in.giver),
                              .number = to_unsigned(in.number),
@@ -86,7 +86,7 @@
     return to_bytes(out);
 }
 
-result<budget::transfer_reply> decode_transfer_answer(std::string_view bytes)
+result<budget::transfer_reply> decode_transfer_response(std::string_view bytes)
 {
     wire::transfer_answer in;
     if (auto ok = from_bytes(bytes, in); !ok)
@@ -112,7 +112,7 @@
     return to_bytes(out);
 }
 
-result<budget::ceiling_ask> decode_witness_question(std::string_view bytes)
+result<budget::ceiling_ask> decode_witness_request(std::string_view bytes)
 {
     wire::witness_question in;
     if (auto ok = from_bytes(bytes, in); !ok)
@@ -138,7 +138,7 @@
     return to_bytes(out);
 }
 
-result<budget::copy_message> decode_copies_question(std::string_view bytes)
+result<budget::copy_message> decode_copies_request(std::string_view bytes)
 {
     wire::copies_question in;
     if (auto ok = from_bytes(bytes, in); !ok)
@@ -159,12 +159,12 @@
     return message;
 }
 
-std::string encode_yes(bool yes)
+std::string encode_bool(bool yes)
 {
     return std::string(yes ? yes_bytes : no_bytes);
 }
 
-result<bool> decode_yes(std::string_view bytes)
+result<bool> decode_bool(std::string_view bytes)
 {
     if (bytes != yes_bytes && bytes != no_bytes)
         return fail(error_code::corrupt, "neither yes nor no");
--- a/libs/peer/local_peers.cpp
+++ b/libs/peer/local_peers.cpp
@@ -27,14 +27,17 @@
     return "unknown";
 }
 
-void local_peers::serve(const peer_address& address, peer_handler* handler)
+void local_peer_network::serve(const peer_address& address,
+                               peer_handler* handler)
 {
     const std::lock_guard lock(mutex_);
     handlers_[address] = handler;
 }
 
-result<std::string> local_peers::ask(const peer_address& to, topic what,
-                                     std::string_view message, duration)
+result<std::string> local_peer_network::send_request(const peer_address& to,
+                                                     topic what,
+                                                     std::string_view message,
+                                                     duration)
 {
     peer_handler* handler = nullptr;
     {
@@ -45,7 +48,7 @@
     }
     if (handler == nullptr)
         return fail(error_code::unavailable, "no peer at " + to);
-    return handler->answer(what, message);
+    return handler->handle_request(what, message);
 }
 
 } // namespace fennelladder::peer
--- a/libs/peer/messages.cpp
+++ b/libs/peer/messages.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-std::string encode(const append_question& message)
+std::string encode(const append_request& message)
 {
     wire::append_message out;
     out.shard = static_cast<std::int64_t>(message.shard.value());
@@ -43,12 +43,12 @@
     return to_bytes(out);
 }
 
-result<append_question> decode_append_question(std::string_view bytes)
+result<append_request> decode_append_request(std::string_view bytes)
 {
     wire::append_message in;
     if (auto ok = from_bytes(bytes, in); !ok)
         return tl::unexpected(ok.error());
-    append_question message;
+    append_request message;
     message.shard = shard_id(static_cast<std::uint64_t>(in.shard));
     for (wire::record_message& it : in.records)
         message.records.push_back(
@@ -71,7 +71,7 @@
 }
 
 result<std::vector<journal::applied_record>>
-decode_append_answer(std::string_view bytes)
+decode_append_response(std::string_view bytes)
 {
     wire::append_answer in;
     if (auto ok = from_bytes(bytes, in); !ok)
--- a/libs/peer/peers_test.cpp
+++ b/libs/peer/peers_test.cpp
@@ -23,7 +23,8 @@
 class echo final : public peer_handler
 {
 public:
-    result<std::string> answer(topic what, std::string_view message) override
+    result<std::string> handle_request(topic what,
+                                       std::string_view message) override
     {
         if (what == topic::outcome)
             return fail(error_code::not_found, "no such key");
@@ -61,11 +62,12 @@
     for (const std::string& message :
          {std::string(), std::string("a\0b", 3), large}) {
         const auto got =
-            peers.ask(address, topic::heartbeat, message, patience);
+            peers.send_request(address, topic::heartbeat, message, patience);
         CHECK(got.has_value());
         CHECK(*got == "heartbeat:" + message);
     }
-    const auto missing = peers.ask(address, topic::outcome, "k", patience);
+    const auto missing =
+        peers.send_request(address, topic::outcome, "k", patience);
     CHECK(missing.error().code == error_code::not_found);
     STRCMP_EQUAL("no such key", missing.error().message.c_str());
     std::vector<std::thread> askers;
@@ -74,8 +76,8 @@
         askers.emplace_back([&, n] {
             const std::string message = std::to_string(n);
             for (int round = 0; round < 20; ++round) {
-                const auto got =
-                    peers.ask(address, topic::transfer, message, patience);
+                const auto got = peers.send_request(address, topic::transfer,
+                                                    message, patience);
                 good += got && *got == "transfer:" + message;
             }
         });
@@ -92,12 +94,13 @@
 TEST(peers, contract_of_local_peers)
 {
     echo handler;
-    local_peers peers;
+    local_peer_network peers;
     peers.serve("a", &handler);
     check_contract(peers, "a");
     peers.serve("a", nullptr);
-    CHECK(peers.ask("a", topic::heartbeat, "", patience).error().code ==
-          error_code::unavailable);
+    CHECK(
+        peers.send_request("a", topic::heartbeat, "", patience).error().code ==
+        error_code::unavailable);
 }
 
 TEST(peers, contract_over_tcp)
@@ -108,12 +111,13 @@
     thrift_peer_network peers({});
     const peer_address address = (*server)->address();
     check_contract(peers, address);
-    LONGS_EQUAL(324, peers.traffic().questions);
+    LONGS_EQUAL(324, peers.traffic().requests);
     server->reset();
     // The kept connections are closed now; the first question finds out.
-    peers.ask(address, topic::heartbeat, "", patience);
-    CHECK(peers.ask(address, topic::heartbeat, "", patience).error().code ==
-          error_code::unavailable);
+    peers.send_request(address, topic::heartbeat, "", patience);
+    CHECK(peers.send_request(address, topic::heartbeat, "", patience)
+              .error()
+              .code == error_code::unavailable);
 }
 
 // An operator sees a node cut off although its host answers new connections:
@@ -123,11 +127,11 @@
 {
     silent_host host;
     thrift_peer_network peers({});
-    const auto got =
-        peers.ask(host.address, topic::heartbeat, "", milliseconds(30));
+    const auto got = peers.send_request(host.address, topic::heartbeat, "",
+                                        milliseconds(30));
     CHECK(got.error().code == error_code::ambiguous);
-    const auto again =
-        peers.ask(host.address, topic::heartbeat, "", milliseconds(30));
+    const auto again = peers.send_request(host.address, topic::heartbeat, "",
+                                          milliseconds(30));
     CHECK(again.error().code == error_code::ambiguous);
     LONGS_EQUAL(2, peers.traffic().failures);
 }
@@ -149,8 +153,9 @@
     thrift_peer_network peers({});
     echo handler;
     for (const char* address : {"", "127.0.0.1", "127.0.0.1:", "1:x"}) {
-        CHECK(peers.ask(address, topic::heartbeat, "", patience).error().code ==
-              error_code::invalid);
+        CHECK(peers.send_request(address, topic::heartbeat, "", patience)
+                  .error()
+                  .code == error_code::invalid);
         CHECK_FALSE(
             thrift_peer_server::start(address, handler, {}).has_value());
     }
@@ -158,11 +163,11 @@
 
 TEST(peers, append_messages_survive_the_wire)
 {
-    const append_question asked{
+    const append_request asked{
         shard_id(7),
         {{{incarnation_id("n.1"), 3, 2, 1}, 5, std::string("\0x", 2)},
          {{incarnation_id("n.1"), 4, 2, 1}, 6, ""}}};
-    const auto got = decode_append_question(encode(asked));
+    const auto got = decode_append_request(encode(asked));
     CHECK(got.has_value());
     LONGS_EQUAL(7, got->shard.value());
     LONGS_EQUAL(2, got->records.size());
@@ -170,12 +175,12 @@
     LONGS_EQUAL(4, got->records[1].mark.sequence);
     const std::vector<journal::applied_record> applied{
         {asked.records[0].mark, journal::record_outcome::refused, "r", true}};
-    const auto back = decode_append_answer(encode(applied));
+    const auto back = decode_append_response(encode(applied));
     CHECK(back.has_value());
     CHECK((*back)[0].outcome == journal::record_outcome::refused);
     CHECK((*back)[0].found);
     const std::string bytes = encode(asked);
     for (std::size_t n = 0; n < bytes.size(); ++n)
-        decode_append_question(std::string_view(bytes).substr(0, n));
-    CHECK_FALSE(decode_append_question("\xff\xff\xff\xff").has_value());
+        decode_append_request(std::string_view(bytes).substr(0, n));
+    CHECK_FALSE(decode_append_request("\xff\xff\xff\xff").has_value());
 }
--- a/libs/peer/suspect_messages.cpp
+++ b/libs/peer/suspect_messages.cpp
@@ -21,7 +21,7 @@
 
 } // namespace
 
-std::string encode(const suspects_question& message)
+std::string encode(const suspects_request& message)
 {
     wire::suspects_question out;
     out.sender = message.sender.str();
@@ -42,12 +42,12 @@
     return to_bytes(out);
 }
 
-result<suspects_question> decode_suspects_question(std::string_view bytes)
+result<suspects_request> decode_suspects_request(std::string_view bytes)
 {
     wire::suspects_question in;
     if (auto ok = from_bytes(bytes, in); !ok)
         return tl::unexpected(ok.error());
-    suspects_question message;
+    suspects_request message;
     message.sender = incarnation_id(in.sender);
     for (const wire::suspect_message& it : in.records) {
         request::suspect_record one;
@@ -78,7 +78,7 @@
 }
 
 result<std::vector<request::suspect_ack>>
-decode_suspects_answer(std::string_view bytes)
+decode_suspects_response(std::string_view bytes)
 {
     wire::suspects_answer in;
     if (auto ok = from_bytes(bytes, in); !ok)
--- a/libs/peer/thrift_peers.cpp
+++ b/libs/peer/thrift_peers.cpp
@@ -69,7 +69,7 @@
     void ask(std::string& answer, std::int32_t what,
              const std::string& message) override
     {
-        auto made = handler_.answer(static_cast<topic>(what), message);
+        auto made = handler_.handle_request(static_cast<topic>(what), message);
         if (made) {
             answer = std::move(*made);
             return;
@@ -189,7 +189,7 @@
     std::mutex mutex;
     std::map<peer_address, std::deque<connection>> idle;
 
-    std::atomic<std::uint64_t> questions{0};
+    std::atomic<std::uint64_t> requests{0};
     std::atomic<std::uint64_t> failures{0};
     std::atomic<std::uint64_t> bytes_sent{0};
     std::atomic<std::uint64_t> bytes_received{0};
@@ -285,13 +285,14 @@
 
 thrift_peer_network::~thrift_peer_network() = default;
 
-result<std::string> thrift_peer_network::ask(const peer_address& to, topic what,
-                                             std::string_view message,
-                                             duration timeout)
+result<std::string> thrift_peer_network::send_request(const peer_address& to,
+                                                      topic what,
+                                                      std::string_view message,
+                                                      duration timeout)
 {
     if (message.size() > max_message_bytes)
         return fail(error_code::too_large, "message to " + to);
-    ++state_->questions;
+    ++state_->requests;
     connection over;
     if (!state_->take_idle(to, over)) {
         auto made = state_->dial(to);
@@ -317,7 +318,7 @@
 
 peer_traffic thrift_peer_network::traffic() const
 {
-    return {state_->questions, state_->failures, state_->bytes_sent,
+    return {state_->requests, state_->failures, state_->bytes_sent,
             state_->bytes_received};
 }
 
--- a/libs/platform/platform_client.cpp
+++ b/libs/platform/platform_client.cpp
@@ -88,10 +88,11 @@
                                              duration wait)
 {
     const duration limit = options_.call_timeout + wait;
-    const http::deadlines limits{.connect = options_.connect_timeout,
-                                 .first_byte = limit,
-                                 .between_bytes = options_.call_timeout,
-                                 .total = limit + options_.call_timeout};
+    const http::transfer_timeouts limits{.connect = options_.connect_timeout,
+                                         .first_byte = limit,
+                                         .between_bytes = options_.call_timeout,
+                                         .total =
+                                             limit + options_.call_timeout};
     auto got = connections_.fetch(make_request("GET", path), limits);
     if (!got && got.error().code == error_code::ambiguous)
         return fail(error_code::unavailable, got.error().message);
@@ -102,10 +103,10 @@
 
 result<http::response> platform_client::write(const http::request& what)
 {
-    const http::deadlines limits{.connect = options_.connect_timeout,
-                                 .first_byte = options_.call_timeout,
-                                 .between_bytes = options_.call_timeout,
-                                 .total = options_.call_timeout * 2};
+    const http::transfer_timeouts limits{.connect = options_.connect_timeout,
+                                         .first_byte = options_.call_timeout,
+                                         .between_bytes = options_.call_timeout,
+                                         .total = options_.call_timeout * 2};
     auto got = connections_.fetch(what, limits);
     if (got && !succeeded(*got))
         return tl::unexpected(to_error(*got, error_code::ambiguous));
--- a/libs/standin/web_server.cpp
+++ b/libs/standin/web_server.cpp
@@ -58,7 +58,7 @@
 
 void web_reply::whole(int status, std::string_view content_type,
                       std::string_view body,
-                      const std::vector<http::answer_header>& fields)
+                      const std::vector<http::response_header>& fields)
 {
     if (muted())
         return drop();
@@ -69,7 +69,7 @@
 }
 
 bool web_reply::begin(int status, std::string_view content_type,
-                      const std::vector<http::answer_header>& fields)
+                      const std::vector<http::response_header>& fields)
 {
     if (muted()) {
         drop();
--- a/libs/standin/web_server.hpp
+++ b/libs/standin/web_server.hpp
@@ -66,11 +66,11 @@
 public:
     /// Sends a whole answer.
     void whole(int status, std::string_view content_type, std::string_view body,
-               const std::vector<http::answer_header>& fields = {});
+               const std::vector<http::response_header>& fields = {});
 
     /// Begins an answer of unknown length. False: the caller is gone.
     bool begin(int status, std::string_view content_type,
-               const std::vector<http::answer_header>& fields = {});
+               const std::vector<http::response_header>& fields = {});
 
     /// Sends bytes. Precondition: begin(). False: the caller is gone, or the
     /// server was aborted.
--- a/libs/target/http_target_client.cpp
+++ b/libs/target/http_target_client.cpp
@@ -103,8 +103,9 @@
     completion_end finish(const http::transfer& sent)
     {
         end_.status = sent.status;
-        end_.silent = sent.how == http::ending::silent;
-        end_.canceled = receiver_stopped_ || sent.how == http::ending::canceled;
+        end_.silent = sent.outcome == http::transfer_outcome::silent;
+        end_.canceled = receiver_stopped_ ||
+                        sent.outcome == http::transfer_outcome::canceled;
         end_.retry_after = retry_after(sent);
         end_.outcome = judge(sent);
         if (end_.outcome != dispatch_outcome::ran)
@@ -320,8 +321,8 @@
         {}, canceled);
     end.status = sent.status;
     end.content_type = sent.field("Content-Type");
-    end.silent = sent.how == http::ending::silent;
-    end.canceled = sent.how == http::ending::canceled;
+    end.silent = sent.outcome == http::transfer_outcome::silent;
+    end.canceled = sent.outcome == http::transfer_outcome::canceled;
     end.retry_after = retry_after(sent);
     if (!sent.sent)
         end.outcome = dispatch_outcome::never_dispatched;
@@ -340,10 +341,11 @@
 {
     auto what = make_request("GET", "/v1/health");
     what.fresh_connection = true;
-    const http::deadlines limits{.connect = options_.probe_timeout,
-                                 .first_byte = options_.probe_timeout,
-                                 .between_bytes = options_.probe_timeout,
-                                 .total = options_.probe_timeout * 2};
+    const http::transfer_timeouts limits{.connect = options_.probe_timeout,
+                                         .first_byte = options_.probe_timeout,
+                                         .between_bytes =
+                                             options_.probe_timeout,
+                                         .total = options_.probe_timeout * 2};
     const auto got = connections_.fetch(what, limits);
     if (!got)
         return fail(error_code::unavailable, got.error().message);
--- a/libs/trial/caller.cpp
+++ b/libs/trial/caller.cpp
@@ -20,7 +20,7 @@
 constexpr duration longest_wait = milliseconds(500);
 constexpr int most_unknown_asks = 6;
 
-http::deadlines limits()
+http::transfer_timeouts limits()
 {
     return {.connect = connect_limit,
             .first_byte = seconds(30),
