--- a/include/fennelladder/http/client.hpp
+++ b/include/fennelladder/http/client.hpp
@@ -124,10 +124,10 @@
 };
 
 /// Receives bytes of the answer's body as they come; false stops.
-using byte_receiver = std::function<bool(std::string_view bytes)>;
+using body_callback = std::function<bool(std::string_view bytes)>;
 
 /// Receives the head of the answer before its body; false stops.
-using head_receiver = std::function<bool(const transfer& so_far)>;
+using head_callback = std::function<bool(const transfer& so_far)>;
 
 /// Asked from time to time while waiting; true ends the transfer.
 using cancel_check = std::function<bool()>;
@@ -165,8 +165,8 @@
     /// Sends the request and passes on the answer's body as it comes.
     /// Callbacks run on the calling thread.
     transfer stream(const request& what, const transfer_timeouts& limits,
-                    const byte_receiver& on_bytes,
-                    const head_receiver& on_head = {},
+                    const body_callback& on_body,
+                    const head_callback& on_head = {},
                     const cancel_check& canceled = {});
 
     /// Closes all connections that are kept idle.
--- a/libs/http/client.cpp
+++ b/libs/http/client.cpp
@@ -208,10 +208,10 @@
 {
 public:
     exchange(session& on, const request& what, const transfer_timeouts& limits,
-             const client_options& options, const byte_receiver& on_bytes,
-             const head_receiver& on_head, const cancel_check& canceled)
+             const client_options& options, const body_callback& on_body,
+             const head_callback& on_head, const cancel_check& canceled)
         : session_(on), what_(what), limits_(limits), options_(options),
-          on_bytes_(on_bytes), on_head_(on_head), canceled_(canceled),
+          on_bytes_(on_body), on_head_(on_head), canceled_(canceled),
           headers_(make_header_list(what)), started_(steady::now()),
           last_progress_(started_)
     {}
@@ -446,8 +446,8 @@
     const request& what_;
     const transfer_timeouts& limits_;
     const client_options& options_;
-    const byte_receiver& on_bytes_;
-    const head_receiver& on_head_;
+    const body_callback& on_bytes_;
+    const head_callback& on_head_;
     const cancel_check& canceled_;
     header_list headers_;
     steady::time_point started_;
@@ -564,8 +564,8 @@
 client::~client() = default;
 
 transfer client::stream(const request& what, const transfer_timeouts& limits,
-                        const byte_receiver& on_bytes,
-                        const head_receiver& on_head,
+                        const body_callback& on_body,
+                        const head_callback& on_head,
                         const cancel_check& canceled)
 {
     transfer end;
@@ -575,8 +575,8 @@
         return end;
     }
     auto on = pool_->take(address, what.fresh_connection);
-    end = exchange(*on, what, limits, options_, on_bytes, on_head, canceled)
-              .run();
+    end =
+        exchange(*on, what, limits, options_, on_body, on_head, canceled).run();
     // Whatever ended otherwise leaves a connection in doubt: silent ones are
     // dropped here, with the session.
     if (end.complete() && !what.fresh_connection)
