--- a/include/fennelladder/http/client.hpp
+++ b/include/fennelladder/http/client.hpp
@@ -1,29 +1,29 @@
-// A blocking HTTP/1.1 client that says what became of a request.
+// A blocking HTTP/1.1 client that reports how far each request got.
 //
-// One call carries one request; the calling thread waits. Connections are
-// kept and used again.
+// One call sends one request and blocks the calling thread. Connections are
+// kept alive and reused.
 //
 //     http::client client({});
-//     http::request ask{.method = "POST",
-//                       .url = "http://10.0.0.7:8080/v1/completions",
-//                       .body = text};
-//     http::transfer end = client.stream(
-//         ask, deadlines, [&](std::string_view bytes) { return relay(bytes);
-//         });
-//     if (!end.complete() && !end.sent)
-//         ...; // proved: the other side can't have seen it
+//     http::request request{.method = "POST",
+//                           .url = "http://10.0.0.7:8080/v1/completions",
+//                           .body = text};
+//     http::transfer done = client.stream(
+//         request, timeouts,
+//         [&](std::string_view bytes) { return relay(bytes); });
+//     if (!done.complete() && !done.sent)
+//         ...; // the server can't have received the request
 //
-// What `sent` means. It is false only if not one byte of the request was
-// handed to the operating system on any connection. Then nobody can have run
-// it. Once it is true, the request may have run, whatever failed afterwards.
-// A request is written to at most one connection: the client never sends it
-// again by itself, not even when a kept connection turns out to be closed.
+// Meaning of `sent`: it is false only if no byte of the request was handed to
+// the operating system on any connection, so that no server can have run it.
+// Once it is true, the request may have run, whatever failed afterwards. A
+// request is written to at most one connection: the client never retries it,
+// not even when a reused connection turns out to be closed.
 //
-// Caveats. A kept connection may be closed by the other side in the moment it
-// is used; that is reported as sent and broken, although nobody read it. Ask
-// for `fresh_connection` where such a false "may have run" costs more than a
-// handshake. Addresses are IP numbers; names are refused, so no call ever
-// waits for a resolver. Proxy variables of the environment are ignored.
+// Caveats: the server may close a reused connection at the moment it is used.
+// That is reported as sent and broken although the server never read the
+// request. Set `fresh_connection` where such a false "may have run" costs more
+// than a handshake. Hosts must be IP addresses; names are rejected, so that no
+// call waits for a resolver. Proxy environment variables are ignored.
 // Redirects are not followed.
 
 #ifndef FENNELLADDER_HTTP_CLIENT_HPP
@@ -42,64 +42,64 @@
 
 namespace fennelladder::http {
 
-/// One header field. Names compare without regard to case.
+/// A header field. Names are case-insensitive.
 struct header
 {
     std::string name;
     std::string value;
 };
 
-/// What to ask. Names and values hold no line breaks.
+/// A request to send. Header names and values must not contain line breaks.
 struct request
 {
     std::string method = "GET";
     std::string url = {}; ///< "http://IP[:PORT]/path?query"; IPv6 in brackets.
     std::vector<header> headers = {};
     std::string body = {};
-    /// Dial anew instead of using a kept connection, and close it after.
+    /// Open a new connection instead of reusing one, and close it afterwards.
     bool fresh_connection = false;
 };
 
-/// How long to wait for what; zero means no limit. On expiry the connection
-/// is closed and never used again, which is what frees the caller from a
-/// connection that went silent for good.
+/// Timeouts of a transfer; zero means no limit. On expiry the connection is
+/// closed and never reused, so that a connection that no longer delivers
+/// anything can't block further requests.
 struct transfer_timeouts
 {
-    /// From the start until the connection stands.
+    /// From the start until the connection is established.
     duration connect = milliseconds(500);
-    /// From then until the first byte of the answer.
+    /// From then until the first byte of the response.
     duration first_byte = seconds(10);
-    /// Between any two arrivals of bytes of the answer.
+    /// Between two consecutive arrivals of response bytes.
     duration between_bytes = seconds(5);
-    /// From the start until the end of the answer.
+    /// From the start until the end of the response.
     duration total = duration(0);
 };
 
 /// How a transfer ended.
 enum class transfer_outcome : std::uint8_t
 {
-    complete,      ///< The answer came whole.
-    stopped,       ///< The receiver of the bytes returned false.
+    complete,      ///< The complete response was received.
+    stopped,       ///< A body or head callback returned false.
     canceled,      ///< The cancel check returned true.
-    not_connected, ///< No connection: refused, unreachable, or too slow.
-    silent,        ///< A deadline passed on a standing connection.
-    broken,        ///< The connection broke or spoke no HTTP.
-    invalid        ///< The request can't be put on the wire.
+    not_connected, ///< Connection refused, unreachable or timed out.
+    silent,        ///< A timeout expired on an open connection.
+    broken,        ///< The connection failed or sent invalid HTTP.
+    invalid        ///< The request can't be encoded or addressed.
 };
 
-/// The stable name of an ending, such as "silent".
+/// The stable name of an outcome, such as "silent".
 std::string_view to_string(transfer_outcome outcome);
 
-/// What became of a request.
+/// The result of a request, complete or not.
 struct transfer
 {
     transfer_outcome outcome = transfer_outcome::invalid;
-    bool sent = false;   ///< See the head of this file.
-    bool reused = false; ///< A kept connection carried it.
-    int status = 0;      ///< 0 until the head of the answer came.
+    bool sent = false;   ///< See the comment at the top of this file.
+    bool reused = false; ///< It was sent on a reused connection.
+    int status = 0;      ///< 0 until the response header was received.
     std::vector<header> headers;
-    std::uint64_t body_bytes = 0; ///< Of the answer, as far as it came.
-    std::string message;          ///< For people; empty when complete.
+    std::uint64_t body_bytes = 0; ///< Body bytes received so far.
+    std::string message;          ///< Human-readable; empty when complete.
 
     bool complete() const { return outcome == transfer_outcome::complete; }
 
@@ -112,7 +112,7 @@
     error to_error() const;
 };
 
-/// A whole answer.
+/// A complete response.
 struct response
 {
     int status = 0;
@@ -123,31 +123,33 @@
     std::string_view field(std::string_view name) const;
 };
 
-/// Receives bytes of the answer's body as they come; false stops.
+/// Receives body bytes as they arrive; returning false stops the transfer.
 using body_callback = std::function<bool(std::string_view bytes)>;
 
-/// Receives the head of the answer before its body; false stops.
+/// Receives status and headers before the body; returning false stops the
+/// transfer.
 using head_callback = std::function<bool(const transfer& so_far)>;
 
-/// Asked from time to time while waiting; true ends the transfer.
+/// Polled while waiting; returning true cancels the transfer.
 using cancel_check = std::function<bool()>;
 
 /// Limits of a client.
 struct client_options
 {
-    /// Kept connections per IP and port; more are closed after use.
+    /// Idle connections kept per IP and port; further ones are closed after
+    /// use.
     std::size_t max_idle_per_address = 256;
-    /// A connection idle for longer is closed instead of used. Keep it below
-    /// the other side's keep-alive time.
+    /// A connection idle for longer is closed instead of reused. Must be less
+    /// than the server's keep-alive timeout.
     duration max_idle_time = seconds(3);
-    /// How often the cancel check is asked while no bytes come.
+    /// Interval at which the cancel check is polled while no bytes arrive.
     duration cancel_interval = milliseconds(20);
-    /// Largest answer that fetch() takes in, bytes.
+    /// Largest response body that fetch() accepts, in bytes.
     std::size_t max_body_bytes = 16'000'000;
 };
 
-/// Thread safe: any number of threads may call at once; each call has its
-/// connection for itself. Calls must have ended before destruction.
+/// Thread safe: any number of threads may call concurrently; each call uses a
+/// connection of its own. Calls must have returned before destruction.
 class client
 {
 public:
@@ -156,20 +158,20 @@
     client(const client&) = delete;
     client& operator=(const client&) = delete;
 
-    /// Sends the request and takes in the whole answer, whatever its status.
-    /// Errors: those of transfer::to_error(), and `too_large`, also
-    /// ambiguous in its effect.
+    /// Sends the request and buffers the complete response, whatever its
+    /// status. Errors: those of transfer::to_error(), and `too_large`, after
+    /// which the request may have run as well.
     result<response> fetch(const request& what,
                            const transfer_timeouts& limits);
 
-    /// Sends the request and passes on the answer's body as it comes.
+    /// Sends the request and passes body bytes on as they arrive.
     /// Callbacks run on the calling thread.
     transfer stream(const request& what, const transfer_timeouts& limits,
                     const body_callback& on_body,
                     const head_callback& on_head = {},
                     const cancel_check& canceled = {});
 
-    /// Closes all connections that are kept idle.
+    /// Closes all idle connections.
     void close_idle_connections();
 
 private:
@@ -185,7 +187,7 @@
 /// Percent-encodes all but unreserved characters.
 std::string encode_query(std::string_view text);
 
-/// Undoes either encoding; '+' stays as it is.
+/// Decodes either encoding; '+' is left unchanged.
 std::string decode_path(std::string_view text);
 
 } // namespace fennelladder::http
--- a/include/fennelladder/http/server.hpp
+++ b/include/fennelladder/http/server.hpp
@@ -1,4 +1,4 @@
-// An HTTP/1.1 server: CivetWeb behind a small interface.
+// An HTTP/1.1 server built on CivetWeb.
 //
 //     server_options options{.listen = "127.0.0.1:0", .threads = 64};
 //     auto made = server::start(options, [](exchange& it) {
@@ -8,12 +8,12 @@
 //     });
 //     int port = made.value()->port();
 //
-// A worker thread carries one connection at a time, kept ones included, so
-// `threads` bounds the number of callers served at once; more wait in the
-// listen queue. Handlers may block.
+// Each worker thread serves one connection at a time, idle keep-alive ones
+// included, so `threads` bounds the number of concurrent callers; others wait
+// in the listen queue. Handlers may block.
 //
-// Caveats. That a caller has gone shows only in a write that fails. A caller
-// that reads slower than `write_timeout` allows is treated as gone.
+// Caveats: a disconnected caller is detected only by a failing write. A caller
+// that reads slower than `write_timeout` allows is treated as disconnected.
 
 #ifndef FENNELLADDER_HTTP_SERVER_HPP
 #define FENNELLADDER_HTTP_SERVER_HPP
@@ -38,31 +38,31 @@
 
 namespace fennelladder::http {
 
-/// How a server listens and what it bounds.
+/// Listen address and limits of a server.
 struct server_options
 {
-    /// IP number and port; port 0 lets the system pick one.
+    /// IP address and port; port 0 lets the system pick one.
     std::string listen = "127.0.0.1:0";
     int threads = 64;
-    /// Largest body taken, bytes; a larger one is an error of read_body().
+    /// Largest request body, in bytes; read_body() fails on a larger one.
     std::size_t max_body_bytes = 1'000'000;
-    /// Largest request line and headers together, bytes; CivetWeb answers
-    /// what is larger with an error by itself.
+    /// Largest request line and headers together, in bytes; CivetWeb itself
+    /// rejects larger ones with an error response.
     std::size_t max_head_bytes = 16'384;
-    /// How long a read or write of one block may stall.
+    /// How long a read or write of one block may block.
     duration write_timeout = seconds(10);
-    /// How long a kept connection may idle.
+    /// How long a keep-alive connection may be idle.
     duration idle_timeout = seconds(5);
 };
 
-/// A header of an answer.
+/// A header field of a response.
 struct response_header
 {
     std::string name;
     std::string value;
 };
 
-/// A whole answer.
+/// A complete response; for a streamed one, its status and headers.
 struct server_response
 {
     int status = 200;
@@ -71,8 +71,8 @@
     std::string body = {};
 };
 
-/// One request and the way to answer it. Used by the handler's thread only,
-/// and only until the handler returns.
+/// One request and its response. Used by the handler's thread only, and only
+/// until the handler returns.
 class exchange
 {
 public:
@@ -82,37 +82,41 @@
     /// Decoded and normalized ("//" and ".." are resolved).
     std::string_view path() const;
 
-    /// Decoded, but otherwise as it was sent.
+    /// Decoded, but not normalized.
     std::string raw_path() const;
 
-    /// Value of a header, or empty. Names compare without regard to case.
+    /// Value of a header, or empty. Names are case-insensitive.
     std::string_view header(const char* name) const;
 
     /// Decoded value of a query parameter, or empty.
     std::string query(const char* name) const;
 
-    /// The whole body. Errors: `too_large`; `invalid` if it ended early.
+    /// Reads the complete body. Errors: `too_large`; `invalid` if it can't be
+    /// read or is shorter than announced.
     result<std::string> read_body();
 
-    /// Answers at once. Precondition: nothing was answered yet.
+    /// Sends a complete response. Precondition: !answered().
     void reply(const server_response& what);
 
-    /// Starts an answer in chunks. False if the caller has gone.
+    /// Starts a chunked response. Returns false if the caller disconnected.
+    /// Precondition: !answered().
     bool begin_stream(const server_response& head);
 
-    /// Writes one chunk. False if the caller has gone.
+    /// Writes one chunk. Returns false if the caller disconnected.
     bool write(std::string_view bytes);
 
-    /// Ends the answer in chunks. An answer that is not ended is cut off
+    /// Ends the chunked response. A response that is not ended is truncated
     /// when the handler returns, which callers see as an error.
     bool end_stream();
 
-    /// Breaks the connection when the handler returns; nothing more is sent.
+    /// Closes the connection when the handler returns, without sending
+    /// anything more.
     void drop();
 
     bool answered() const { return answered_; }
 
-    /// Number of the connection: grows by one with each that is accepted.
+    /// Serial number of the connection; each accepted connection gets the
+    /// next one.
     std::uint64_t connection_serial() const;
 
 private:
@@ -128,38 +132,38 @@
 using handler = std::function<void(exchange&)>;
 
 /// Shuts down the listening socket of `port` and every connection accepted
-/// there. CivetWeb doesn't hand out its sockets, so they are found among the
-/// process's own descriptors. Thread safe.
+/// there. CivetWeb doesn't expose its sockets, so they are found among the
+/// file descriptors of the process. Thread safe.
 void shut_down_port(int port);
 
 /// A running server. Thread safe.
 class server
 {
 public:
-    /// Fails with `unavailable` when the address can't be listened on.
+    /// Fails with `unavailable` if the server can't listen on the address.
     static result<std::unique_ptr<server>> start(server_options options,
                                                  handler serve);
 
-    /// Turns new requests away (503, not run), waits for the handlers that
-    /// run, and stops when their answers are out.
+    /// Drains the server: rejects new requests (503, not run), waits for
+    /// running handlers and stops once their responses are sent.
     ~server();
     server(const server&) = delete;
     server& operator=(const server&) = delete;
 
-    /// Breaks off every connection and listens no more, as the end of a
-    /// process does; handlers see their callers gone. Doesn't wait for them:
-    /// the destructor does.
+    /// Closes every connection and stops listening, as the end of a process
+    /// would; handlers see their callers disconnect. Doesn't wait for the
+    /// handlers; the destructor does.
     void abort();
 
-    /// True from the call of abort() on.
+    /// True once abort() was called.
     bool aborting() const { return aborting_; }
 
-    /// Serial number of the last connection accepted; 0 if there was none.
+    /// Serial number of the last accepted connection; 0 if there is none.
     std::uint64_t last_connection_serial() const { return last_serial_; }
 
     int port() const { return port_; }
 
-    /// "IP:PORT" as callers reach it.
+    /// "IP:PORT" at which callers reach the server.
     std::string address() const;
 
 private:
@@ -180,9 +184,9 @@
 
     std::mutex mutex_; // Guards the fields below.
     std::condition_variable idle_;
-    std::size_t running_ = 0; // Handlers.
+    std::size_t running_ = 0; // Number of running handlers.
     bool draining_ = false;
-    std::thread stopper_; // After abort().
+    std::thread stopper_; // Runs stop() after abort().
 };
 
 } // namespace fennelladder::http
--- a/libs/http/client.cpp
+++ b/libs/http/client.cpp
@@ -1,14 +1,14 @@
-// One curl multi handle per connection, driven by the thread that asks.
+// One curl multi handle per connection, driven by the calling thread.
 //
-// A multi handle of its own gives each call what curl's easy interface
-// doesn't: waits in milliseconds, so that progress deadlines and the cancel
-// check are exact, and a connection that is surely thrown away with it. Idle
-// handles wait in a pool by address, last used first; a call costs one lock
-// to take a handle and one to give it back.
+// A separate multi handle gives each call what curl's easy interface doesn't:
+// waits with millisecond resolution, so that progress timeouts and the cancel
+// check are exact, and a connection that is certain to be closed together with
+// its handle. Idle handles are pooled by address and reused most recently used
+// first; a call takes one lock to acquire a handle and one to release it.
 //
-// curl resends a request by itself when a kept connection closes before the
-// first byte of an answer. For a call that must not run twice that would be a
-// second execution, so the socket callback refuses a new connection as soon as
+// curl resends a request by itself when a reused connection closes before the
+// first byte of a response. A call that must not run twice would thereby be
+// executed again, so the socket callback refuses to open a new connection once
 // any byte of the request was written.
 
 #include "fennelladder/http/client.hpp"
@@ -31,7 +31,7 @@
 
 using steady = std::chrono::steady_clock;
 
-constexpr duration longest_wait = seconds(1);
+constexpr duration max_poll_wait = seconds(1);
 
 void initialize_curl()
 {
@@ -81,7 +81,7 @@
     return inet_pton(AF_INET, host.c_str(), &buf) == 1;
 }
 
-// "IP:PORT" of a URL, or empty if it isn't of the form that we take.
+// "IP:PORT" of a URL, or empty if the URL is not of the supported form.
 std::string authority_of(std::string_view url)
 {
     constexpr std::string_view scheme = "http://";
@@ -158,15 +158,16 @@
 {
     header_list list;
     for (const header& it : what.headers) {
-        // curl drops a field that ends in its colon, and sends one that ends
-        // in a semicolon with an empty value.
+        // curl omits a header given as "Name:", and sends one given as
+        // "Name;" with an empty value.
         append(list,
                it.value.empty() ? it.name + ";" : it.name + ": " + it.value);
     }
-    // Waiting for "100 Continue" costs a second where it isn't known.
+    // Waiting for "100 Continue" costs a second with servers that don't
+    // support it.
     append(list, "Expect:");
-    // A fresh connection serves one request. Kept ones would add up at the
-    // other side, which may hold a thread for each.
+    // A fresh connection serves one request. If they were kept alive, they
+    // would accumulate at the server, which may hold a thread for each.
     if (what.fresh_connection)
         append(list, "Connection: close");
     if (find_field(what.headers, "Content-Type").empty())
@@ -174,7 +175,7 @@
     return list;
 }
 
-// One curl handle pair with at most one connection.
+// A curl multi and easy handle with at most one connection.
 class session
 {
 public:
@@ -203,15 +204,16 @@
     CURL* easy_;
 };
 
-// One request on one session.
-class exchange
+// Runs one request on one session.
+class transfer_driver
 {
 public:
-    exchange(session& on, const request& what, const transfer_timeouts& limits,
-             const client_options& options, const body_callback& on_body,
-             const head_callback& on_head, const cancel_check& canceled)
-        : session_(on), what_(what), limits_(limits), options_(options),
-          on_bytes_(on_body), on_head_(on_head), canceled_(canceled),
+    transfer_driver(session& on, const request& what,
+                    const transfer_timeouts& limits,
+                    const client_options& options, const body_callback& on_body,
+                    const head_callback& on_head, const cancel_check& canceled)
+        : session_(on), request_(what), timeouts_(limits), options_(options),
+          on_body_(on_body), on_head_(on_head), canceled_(canceled),
           headers_(make_header_list(what)), started_(steady::now()),
           last_progress_(started_)
     {}
@@ -220,13 +222,13 @@
     {
         prepare();
         curl_multi_add_handle(session_.multi(), session_.easy());
-        drive();
-        note_sent();
+        run_loop();
+        update_sent();
         long connects = 0;
         curl_easy_getinfo(session_.easy(), CURLINFO_NUM_CONNECTS, &connects);
-        so_far_.reused = connects == 0 && so_far_.sent;
+        transfer_.reused = connects == 0 && transfer_.sent;
         curl_multi_remove_handle(session_.multi(), session_.easy());
-        return std::move(so_far_);
+        return std::move(transfer_);
     }
 
 private:
@@ -245,43 +247,44 @@
         set(CURLOPT_PROXY, "");
         set(CURLOPT_PROTOCOLS_STR, "http");
         set(CURLOPT_HTTP_VERSION, static_cast<long>(CURL_HTTP_VERSION_1_1));
-        set(CURLOPT_URL, what_.url.c_str());
+        set(CURLOPT_URL, request_.url.c_str());
         set(CURLOPT_PATH_AS_IS, 1L);
         set(CURLOPT_HTTPHEADER, headers_.get());
         set_method();
-        set(CURLOPT_WRITEFUNCTION, &exchange::write);
+        set(CURLOPT_WRITEFUNCTION, &transfer_driver::write);
         set(CURLOPT_WRITEDATA, this);
-        set(CURLOPT_HEADERFUNCTION, &exchange::head);
+        set(CURLOPT_HEADERFUNCTION, &transfer_driver::head);
         set(CURLOPT_HEADERDATA, this);
-        set(CURLOPT_OPENSOCKETFUNCTION, &exchange::open);
+        set(CURLOPT_OPENSOCKETFUNCTION, &transfer_driver::open);
         set(CURLOPT_OPENSOCKETDATA, this);
     }
 
     void set_method()
     {
-        const bool takes_body = what_.method == "POST" || what_.method == "PUT";
-        if (takes_body || !what_.body.empty()) {
+        const bool takes_body =
+            request_.method == "POST" || request_.method == "PUT";
+        if (takes_body || !request_.body.empty()) {
             set(CURLOPT_POSTFIELDSIZE_LARGE,
-                static_cast<curl_off_t>(what_.body.size()));
-            set(CURLOPT_POSTFIELDS, what_.body.data());
-        } else if (what_.method == "HEAD") {
+                static_cast<curl_off_t>(request_.body.size()));
+            set(CURLOPT_POSTFIELDS, request_.body.data());
+        } else if (request_.method == "HEAD") {
             set(CURLOPT_NOBODY, 1L);
         }
-        set(CURLOPT_CUSTOMREQUEST, what_.method.c_str());
+        set(CURLOPT_CUSTOMREQUEST, request_.method.c_str());
     }
 
-    void drive()
+    void run_loop()
     {
         while (true) {
             int running = 0;
             curl_multi_perform(session_.multi(), &running);
             if (running == 0)
                 return finish();
-            note_sent();
+            update_sent();
             const auto now = steady::now();
             const duration left = time_left(now);
             if (left <= duration(0))
-                return expire();
+                return end_on_timeout();
             if (canceled_ && canceled_())
                 return end(transfer_outcome::canceled,
                            "canceled by the caller");
@@ -291,7 +294,7 @@
 
     void wait(duration left)
     {
-        duration length = std::min(left, longest_wait);
+        duration length = std::min(left, max_poll_wait);
         if (canceled_)
             length = std::min(length, options_.cancel_interval);
         const auto ms = std::chrono::ceil<milliseconds>(length).count();
@@ -299,49 +302,51 @@
                         nullptr);
     }
 
-    void note_sent()
+    void update_sent()
     {
-        if (so_far_.sent)
+        if (transfer_.sent)
             return;
         long bytes = 0;
         curl_easy_getinfo(session_.easy(), CURLINFO_REQUEST_SIZE, &bytes);
         if (bytes == 0)
             return;
-        so_far_.sent = true;
+        transfer_.sent = true;
         last_progress_ = steady::now();
     }
 
-    // Which of the progress deadlines runs now.
-    duration progress_limit() const
+    // The timeout of the current phase: connect, first byte or between bytes.
+    duration progress_timeout() const
     {
-        if (!so_far_.sent)
-            return limits_.connect;
-        return received_ ? limits_.between_bytes : limits_.first_byte;
+        if (!transfer_.sent)
+            return timeouts_.connect;
+        return received_ ? timeouts_.between_bytes : timeouts_.first_byte;
     }
 
     duration time_left(steady::time_point now) const
     {
         duration left = duration::max();
-        if (progress_limit() > duration(0))
-            left = last_progress_ + progress_limit() - now;
-        if (limits_.total > duration(0))
-            left = std::min<duration>(left, started_ + limits_.total - now);
+        if (progress_timeout() > duration(0))
+            left = last_progress_ + progress_timeout() - now;
+        if (timeouts_.total > duration(0))
+            left = std::min<duration>(left, started_ + timeouts_.total - now);
         return left;
     }
 
-    void expire()
+    void end_on_timeout()
     {
-        if (so_far_.sent)
+        if (transfer_.sent)
             return end(transfer_outcome::silent,
-                       received_ ? "no bytes within deadline"
-                                 : "no answer within deadline");
-        end(transfer_outcome::not_connected, "no connection within deadline");
+                       received_
+                           ? "no further response bytes before the timeout"
+                           : "no response before the timeout");
+        end(transfer_outcome::not_connected,
+            "no connection before the timeout");
     }
 
     void end(transfer_outcome outcome, std::string message)
     {
-        so_far_.outcome = outcome;
-        so_far_.message = std::move(message);
+        transfer_.outcome = outcome;
+        transfer_.message = std::move(message);
     }
 
     void finish()
@@ -351,110 +356,115 @@
             curl_multi_info_read(session_.multi(), &queued);
         assert(message != nullptr && message->msg == CURLMSG_DONE);
         const CURLcode ec = message->data.result;
-        note_sent();
+        update_sent();
         if (ec == CURLE_OK)
             return finish_whole();
         if (stopped_)
-            return end(transfer_outcome::stopped, "stopped by the receiver");
-        end(so_far_.sent ? transfer_outcome::broken
-                         : transfer_outcome::not_connected,
+            return end(transfer_outcome::stopped,
+                       "stopped by the body or head callback");
+        end(transfer_.sent ? transfer_outcome::broken
+                           : transfer_outcome::not_connected,
             curl_easy_strerror(ec));
     }
 
-    // An answer whose end is marked only by the connection's closing can't be
-    // told from one that was cut, so it doesn't count as whole.
+    // A response that is delimited only by the closing of the connection can't
+    // be told from a truncated one, so it doesn't count as complete.
     void finish_whole()
     {
-        const bool bodiless = what_.method == "HEAD" || so_far_.status == 204 ||
-                              so_far_.status == 304;
-        const bool framed = !so_far_.field("Content-Length").empty() ||
-                            !so_far_.field("Transfer-Encoding").empty();
+        const bool bodiless = request_.method == "HEAD" ||
+                              transfer_.status == 204 ||
+                              transfer_.status == 304;
+        const bool framed = !transfer_.field("Content-Length").empty() ||
+                            !transfer_.field("Transfer-Encoding").empty();
         if (bodiless || framed)
             return end(transfer_outcome::complete, {});
-        end(transfer_outcome::broken, "answer without a length");
+        end(transfer_outcome::broken,
+            "response without Content-Length or Transfer-Encoding");
     }
 
-    bool take_head_line(std::string_view line)
+    bool receive_header_line(std::string_view line)
     {
         received_ = true;
         if (line.starts_with("HTTP/")) {
-            so_far_.headers.clear();
-            so_far_.status = 0;
+            transfer_.headers.clear();
+            transfer_.status = 0;
             return true;
         }
         const std::string_view text = trim(line);
         if (text.empty())
-            return take_head_end();
+            return finish_header();
         const auto colon = text.find(':');
         if (colon != std::string_view::npos)
-            so_far_.headers.push_back(
+            transfer_.headers.push_back(
                 {std::string(trim(text.substr(0, colon))),
                  std::string(trim(text.substr(colon + 1)))});
         return true;
     }
 
-    bool take_head_end()
+    bool finish_header()
     {
         long code = 0;
         curl_easy_getinfo(session_.easy(), CURLINFO_RESPONSE_CODE, &code);
-        so_far_.status = static_cast<int>(code);
+        transfer_.status = static_cast<int>(code);
         const bool interim = code < 200;
-        return interim || !on_head_ || on_head_(so_far_);
+        return interim || !on_head_ || on_head_(transfer_);
     }
 
-    bool take_bytes(std::string_view bytes)
+    bool receive_body(std::string_view bytes)
     {
         received_ = true;
-        so_far_.body_bytes += bytes.size();
-        return on_bytes_(bytes);
+        transfer_.body_bytes += bytes.size();
+        return on_body_(bytes);
     }
 
-    // Time that a receiver takes must not count as the sender's silence.
-    std::size_t after(bool going_on, std::size_t n)
+    // Restarts the progress timeout, so that the time spent in a callback
+    // doesn't count as time without bytes from the server.
+    std::size_t finish_callback(bool keep_going, std::size_t n)
     {
         last_progress_ = steady::now();
-        stopped_ = !going_on;
-        return going_on ? n : 0;
+        stopped_ = !keep_going;
+        return keep_going ? n : 0;
     }
 
     static std::size_t write(char* data, std::size_t size, std::size_t n,
                              void* self)
     {
-        auto& it = *static_cast<exchange*>(self);
-        return it.after(it.take_bytes({data, size * n}), size * n);
+        auto& it = *static_cast<transfer_driver*>(self);
+        return it.finish_callback(it.receive_body({data, size * n}), size * n);
     }
 
     static std::size_t head(char* data, std::size_t size, std::size_t n,
                             void* self)
     {
-        auto& it = *static_cast<exchange*>(self);
-        return it.after(it.take_head_line({data, size * n}), size * n);
+        auto& it = *static_cast<transfer_driver*>(self);
+        return it.finish_callback(it.receive_header_line({data, size * n}),
+                                  size * n);
     }
 
-    // Guards against a second execution: see the head of this file.
+    // Prevents a second execution: see the comment at the top of this file.
     static curl_socket_t open(void* self, curlsocktype, curl_sockaddr* address)
     {
-        auto& it = *static_cast<exchange*>(self);
-        it.note_sent();
-        if (it.so_far_.sent)
+        auto& it = *static_cast<transfer_driver*>(self);
+        it.update_sent();
+        if (it.transfer_.sent)
             return CURL_SOCKET_BAD;
         return socket(address->family, address->socktype | SOCK_CLOEXEC,
                       address->protocol);
     }
 
     session& session_;
-    const request& what_;
-    const transfer_timeouts& limits_;
+    const request& request_;
+    const transfer_timeouts& timeouts_;
     const client_options& options_;
-    const body_callback& on_bytes_;
+    const body_callback& on_body_;
     const head_callback& on_head_;
     const cancel_check& canceled_;
     header_list headers_;
     steady::time_point started_;
     steady::time_point last_progress_;
-    transfer so_far_;
-    bool received_ = false; // Any byte of an answer came.
-    bool stopped_ = false;  // A receiver returned false.
+    transfer transfer_;
+    bool received_ = false; // Any byte of a response arrived.
+    bool stopped_ = false;  // A body or head callback returned false.
 };
 
 } // namespace
@@ -503,21 +513,21 @@
     return {error_code::unavailable, text};
 }
 
-// Idle sessions by address, the last used at the back. Invariant: a session
-// in the pool carries no request.
+// Idle sessions by address, the most recently used at the back. Invariant: no
+// request runs on a session in the pool.
 class client::connection_pool
 {
 public:
     explicit connection_pool(const client_options& options) : options_(options)
     {}
 
-    std::unique_ptr<session> take(const std::string& address, bool fresh)
+    std::unique_ptr<session> acquire(const std::string& address, bool fresh)
     {
         if (fresh)
             return std::make_unique<session>();
         const std::lock_guard lock(mutex_);
         auto& idle = idle_[address];
-        drop_stale(idle);
+        close_expired(idle);
         if (idle.empty())
             return std::make_unique<session>();
         auto taken = std::move(idle.back());
@@ -531,7 +541,7 @@
         const std::lock_guard lock(mutex_);
         auto& idle = idle_[address];
         idle.push_back(std::move(used));
-        drop_stale(idle);
+        close_expired(idle);
         while (idle.size() > options_.max_idle_per_address)
             idle.pop_front();
     }
@@ -543,7 +553,7 @@
     }
 
 private:
-    void drop_stale(std::deque<std::unique_ptr<session>>& idle) const
+    void close_expired(std::deque<std::unique_ptr<session>>& idle) const
     {
         const auto oldest = steady::now() - options_.max_idle_time;
         while (!idle.empty() && idle.front()->last_used < oldest)
@@ -571,14 +581,15 @@
     transfer end;
     const std::string address = authority_of(what.url);
     if (address.empty() || !is_sendable(what)) {
-        end.message = "can't ask " + what.method + " of " + what.url;
+        end.message = "can't send " + what.method + " to " + what.url;
         return end;
     }
-    auto on = pool_->take(address, what.fresh_connection);
+    auto on = pool_->acquire(address, what.fresh_connection);
     end =
-        exchange(*on, what, limits, options_, on_body, on_head, canceled).run();
-    // Whatever ended otherwise leaves a connection in doubt: silent ones are
-    // dropped here, with the session.
+        transfer_driver(*on, what, limits, options_, on_body, on_head, canceled)
+            .run();
+    // After any other outcome the state of the connection is unknown: it is
+    // closed here together with the session, also after a timeout.
     if (end.complete() && !what.fresh_connection)
         pool_->give_back(address, std::move(on));
     return end;
@@ -587,19 +598,20 @@
 result<response> client::fetch(const request& what,
                                const transfer_timeouts& limits)
 {
-    response answer;
-    const auto take = [&](std::string_view bytes) {
-        answer.body += bytes;
-        return answer.body.size() <= options_.max_body_bytes;
+    response received;
+    const auto append_body = [&](std::string_view bytes) {
+        received.body += bytes;
+        return received.body.size() <= options_.max_body_bytes;
     };
-    transfer end = stream(what, limits, take);
+    transfer end = stream(what, limits, append_body);
     if (end.outcome == transfer_outcome::stopped)
-        return fail(error_code::too_large, "answer of " + what.url);
+        return fail(error_code::too_large,
+                    "response body over the limit from " + what.url);
     if (!end.complete())
         return tl::unexpected(end.to_error());
-    answer.status = end.status;
-    answer.headers = std::move(end.headers);
-    return answer;
+    received.status = end.status;
+    received.headers = std::move(end.headers);
+    return received;
 }
 
 void client::close_idle_connections()
--- a/libs/http/scripted_server.hpp
+++ b/libs/http/scripted_server.hpp
@@ -1,5 +1,5 @@
-// A TCP server for tests that answers by a script: the n-th request that it
-// reads, on whatever connection, gets the n-th step.
+// A TCP server for tests that follows a script: the n-th request that it
+// receives, on any connection, is answered by the n-th step.
 //
 //     scripted_server server({{.send = ok("hi")}, {.then = after::hang}});
 //     client.fetch({.url = server.url()}, limits);
@@ -21,14 +21,15 @@
 
 namespace fennelladder::http {
 
-/// What a server does with the connection after a step's bytes.
+/// What the server does with the connection after it sent a step's bytes.
 enum class after
 {
-    keep,  ///< Read the next request from it.
+    keep,  ///< Read the next request from the connection.
     close, ///< Close it.
-    hang   ///< Keep it open and silent until the server stops.
+    hang   ///< Keep it open and send nothing until the server stops.
 };
 
+/// The response to one request.
 struct step
 {
     std::string send = {};
@@ -41,7 +42,7 @@
            "\r\n\r\n" + body;
 }
 
-/// Thread safe. Serves each connection on a thread of its own.
+/// Thread safe. Serves each connection on a separate thread.
 class scripted_server
 {
 public:
@@ -58,14 +59,14 @@
             getsockname(listener_, reinterpret_cast<sockaddr*>(&at), &n);
         assert(ok == 0);
         port_ = ntohs(at.sin_port);
-        accepting_ = std::thread([this] { accept_all(); });
+        acceptor_ = std::thread([this] { accept_connections(); });
     }
 
     ~scripted_server()
     {
         stopping_ = true;
-        accepting_.join();
-        for (std::thread& it : serving_)
+        acceptor_.join();
+        for (std::thread& it : connection_threads_)
             it.join();
         close(listener_);
     }
@@ -79,7 +80,7 @@
     int connections() const { return connections_; }
 
 private:
-    bool readable(int fd) const
+    bool wait_readable(int fd) const
     {
         pollfd it{fd, POLLIN, 0};
         while (!stopping_) {
@@ -89,24 +90,24 @@
         return false;
     }
 
-    void accept_all()
+    void accept_connections()
     {
-        while (readable(listener_)) {
+        while (wait_readable(listener_)) {
             const int fd = accept(listener_, nullptr, nullptr);
             ++connections_;
-            serving_.emplace_back([this, fd] {
+            connection_threads_.emplace_back([this, fd] {
                 serve(fd);
                 close(fd);
             });
         }
     }
 
-    bool read_head(int fd) const
+    bool read_request_header(int fd) const
     {
         std::string head;
         char c = 0;
         while (!head.ends_with("\r\n\r\n")) {
-            if (!readable(fd) || recv(fd, &c, 1, 0) != 1)
+            if (!wait_readable(fd) || recv(fd, &c, 1, 0) != 1)
                 return false;
             head += c;
         }
@@ -115,14 +116,14 @@
 
     void serve(int fd)
     {
-        while (read_head(fd)) {
+        while (read_request_header(fd)) {
             const auto n = static_cast<std::size_t>(requests_++);
             assert(n < script_.size());
-            const step& now = script_[n];
-            send(fd, now.send.data(), now.send.size(), MSG_NOSIGNAL);
-            if (now.then == after::close)
+            const step& current = script_[n];
+            send(fd, current.send.data(), current.send.size(), MSG_NOSIGNAL);
+            if (current.then == after::close)
                 return;
-            while (now.then == after::hang && !stopping_)
+            while (current.then == after::hang && !stopping_)
                 usleep(1000);
         }
     }
@@ -133,8 +134,8 @@
     std::atomic<bool> stopping_ = false;
     std::atomic<int> requests_ = 0;
     std::atomic<int> connections_ = 0;
-    std::thread accepting_;
-    std::vector<std::thread> serving_;
+    std::thread acceptor_;
+    std::vector<std::thread> connection_threads_;
 };
 
 } // namespace fennelladder::http
--- a/libs/http/server.cpp
+++ b/libs/http/server.cpp
@@ -1,12 +1,13 @@
-// CivetWeb owns sockets, threads and parsing. One handler takes every path;
-// errors that CivetWeb answers by itself (a request it can't parse) come out
-// as JSON as well, through its error callback.
+// CivetWeb owns sockets, threads and parsing. One handler serves all paths;
+// errors that CivetWeb reports by itself (a request that it can't parse) are
+// sent as JSON as well, through its error callback.
 //
-// Once CivetWeb is told to stop, it writes nothing more, also not for handlers
-// that run: an answer under way would be cut. So the server first drains: new
-// requests are turned away, and it waits for the handlers. CivetWeb's threads
-// then look at the stop flag only when their socket stirs or two seconds have
-// passed, and it doesn't hand out its sockets; they are shut down to wake them.
+// Once CivetWeb is told to stop, it writes nothing more, not even for running
+// handlers, so a response in progress would be truncated. The server therefore
+// drains first: it rejects new requests and waits for the handlers. CivetWeb's
+// threads then check the stop flag only on socket activity or after two
+// seconds. CivetWeb doesn't expose its sockets, so they are shut down through
+// their file descriptors to wake the threads.
 
 #include "fennelladder/http/server.hpp"
 
@@ -29,20 +30,20 @@
 constexpr std::size_t read_block_bytes = 16'384;
 constexpr int handled = 1;
 
-void initialize_library()
+void initialize_civetweb()
 {
     static std::once_flag once;
     std::call_once(once, [] { mg_init_library(MG_FEATURES_DEFAULT); });
 }
 
-std::string to_text(duration length)
+std::string milliseconds_text(duration length)
 {
     return std::to_string(
         std::chrono::duration_cast<milliseconds>(length).count());
 }
 
-// An answer of the server itself, after which it closes the connection.
-void answer_closing(mg_connection* connection, int status,
+// Sends a response of the server itself and closes the connection.
+void send_and_close(mg_connection* connection, int status,
                     const std::string& body)
 {
     mg_disable_connection_keep_alive(connection);
@@ -54,24 +55,25 @@
               body.size(), body.c_str());
 }
 
-int answer_error(mg_connection* connection, int status, const char*)
+int on_http_error(mg_connection* connection, int status, const char*)
 {
-    answer_closing(
+    send_and_close(
         connection, status,
         R"({"error":{"code":"bad_request","message":"the request can't be )"
         R"(read"},"outcome":"not_run"})");
     return 0;
 }
 
-void answer_draining(mg_connection* connection)
+void send_draining(mg_connection* connection)
 {
     constexpr int service_unavailable = 503;
-    answer_closing(connection, service_unavailable,
+    send_and_close(connection, service_unavailable,
                    R"({"error":{"code":"draining","message":"this server )"
                    R"(stops"},"outcome":"not_run"})");
 }
 
-std::string head_text(mg_connection* connection, const server_response& head)
+std::string format_header(mg_connection* connection,
+                          const server_response& head)
 {
     std::string text = "HTTP/1.1 " + std::to_string(head.status) + " ";
     text += mg_get_response_code_text(connection, head.status);
@@ -81,7 +83,7 @@
     return text;
 }
 
-// The port that a socket of this process is bound to; 0 if there is none.
+// The local port of a socket of this process; 0 if `fd` is no IP socket.
 int local_port(int fd)
 {
     sockaddr_storage at{};
@@ -171,7 +173,7 @@
 {
     assert(!answered_);
     answered_ = true;
-    std::string text = head_text(connection_, what);
+    std::string text = format_header(connection_, what);
     text += "Content-Length: " + std::to_string(what.body.size()) + "\r\n\r\n";
     text += what.body;
     mg_write(connection_, text.data(), text.size());
@@ -182,7 +184,7 @@
     assert(!answered_);
     answered_ = true;
     streaming_ = true;
-    std::string text = head_text(connection_, head);
+    std::string text = format_header(connection_, head);
     text += "Transfer-Encoding: chunked\r\n\r\n";
     return mg_write(connection_, text.data(), text.size()) > 0;
 }
@@ -225,7 +227,7 @@
     {
         const std::lock_guard lock(it.mutex_);
         if (it.draining_) {
-            answer_draining(connection);
+            send_draining(connection);
             return handled;
         }
         ++it.running_;
@@ -239,19 +241,19 @@
 
 void server::serve(mg_connection* connection)
 {
-    exchange one(connection, options_);
-    serve_(one);
-    if (!one.answered())
-        one.reply({.status = 500});
-    // Guards against an answer in chunks that the handler didn't end: on a
-    // connection that is kept, its caller would wait for the rest until the
-    // idle timeout, instead of seeing it cut at once.
-    if (one.streaming_ || one.dropped_)
+    exchange current(connection, options_);
+    serve_(current);
+    if (!current.answered())
+        current.reply({.status = 500});
+    // Closes the connection if the handler didn't end a chunked response: on
+    // a keep-alive connection the caller would wait for the rest until the
+    // idle timeout instead of seeing the truncation at once.
+    if (current.streaming_ || current.dropped_)
         mg_disable_connection_keep_alive(connection);
 }
 
-// The serial number itself is the connection's data: CivetWeb doesn't tell of
-// the end of every connection, so nothing may hang on it.
+// Stores the serial number itself as the connection's user data: CivetWeb
+// doesn't report the end of every connection, so allocated data would leak.
 int server::on_connection(const mg_connection* connection, void** data)
 {
     auto& it =
@@ -265,14 +267,14 @@
 result<std::unique_ptr<server>> server::start(server_options options,
                                               handler serve)
 {
-    initialize_library();
+    initialize_civetweb();
     std::unique_ptr<server> it(
         new server(std::move(options), std::move(serve)));
     const server_options& use = it->options_;
     const std::string threads = std::to_string(use.threads);
     const std::string head = std::to_string(use.max_head_bytes);
-    const std::string write = to_text(use.write_timeout);
-    const std::string idle = to_text(use.idle_timeout);
+    const std::string write = milliseconds_text(use.write_timeout);
+    const std::string idle = milliseconds_text(use.idle_timeout);
     const std::array<const char*, 19> settings{"listening_ports",
                                                use.listen.c_str(),
                                                "num_threads",
@@ -293,7 +295,7 @@
                                                "1024",
                                                nullptr};
     mg_callbacks callbacks{};
-    callbacks.http_error = answer_error;
+    callbacks.http_error = on_http_error;
     callbacks.init_connection = on_connection;
     it->context_ = mg_start(&callbacks, it.get(),
                             const_cast<const char**>(settings.data()));
@@ -313,7 +315,7 @@
     for (; !ec && it != std::filesystem::directory_iterator();
          it.increment(ec)) {
         const int fd = std::atoi(it->path().filename().c_str());
-        // Outgoing connections have ports of their own.
+        // Outgoing connections have other local ports.
         if (local_port(fd) == port)
             shutdown(fd, SHUT_RDWR);
     }
@@ -333,7 +335,8 @@
     if (aborting_.exchange(true))
         return;
     shut_down_port(port_);
-    // CivetWeb has to stop at once: its listener spins on a dead socket.
+    // CivetWeb must stop at once: its listener loops without pause on a
+    // socket that was shut down.
     stopper_ = std::thread([this] { stop(); });
 }
 
--- a/libs/http/server_test.cpp
+++ b/libs/http/server_test.cpp
@@ -1,5 +1,5 @@
-// Requests are written byte by byte over a plain socket, so that the server
-// is tested without a client of ours.
+// Requests are written verbatim to a plain socket, so that the server is tested
+// independently of this library's client.
 
 #include "fennelladder/http/client.hpp"
 #include "fennelladder/http/server.hpp"
@@ -40,7 +40,7 @@
                       std::string(it.header("x-one")) + "|" + *body});
 }
 
-std::string ask(int port, const std::string& text)
+std::string send_raw(int port, const std::string& text)
 {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
     sockaddr_in to{};
@@ -62,14 +62,14 @@
 
 TEST_GROUP(server){};
 
-TEST(server, answers_what_it_was_asked)
+TEST(server, responds_to_valid_and_invalid_requests)
 {
     auto made = server::start({.threads = 4, .max_body_bytes = 10}, serve);
     CHECK(made.has_value());
     struct
     {
         const char* text;
-        const char* wanted;
+        const char* expected;
     } const cases[] = {
         {"GET /a?q=x%20y HTTP/1.1\r\nHost: a\r\nX-One: 1\r\n\r\n",
          "GET|x y|1|"},
@@ -89,18 +89,19 @@
         {"nonsense\r\n\r\n", R"("code":"bad_request")"},
     };
     for (const auto& it : cases)
-        STRCMP_CONTAINS(it.wanted, ask((*made)->port(), it.text).c_str());
+        STRCMP_CONTAINS(it.expected,
+                        send_raw((*made)->port(), it.text).c_str());
 }
 
-// A mechanic's answer is cut because its target died. His client must see
-// that at once: on a connection that was kept open it would go on waiting for
-// the rest, until the connection's idle timeout.
-TEST(server, unfinished_answer_is_cut_at_once)
+// A response is truncated because its target died. The client must see that at
+// once: if the connection were kept alive, the client would wait for the rest
+// until the idle timeout of the connection.
+TEST(server, unfinished_response_closes_the_connection_at_once)
 {
     auto made = server::start({.threads = 4, .idle_timeout = hours(1)}, serve);
-    client asks;
+    client sender;
     for (const char* path : {"cut", "drop", "cut"}) {
-        const auto end = asks.stream(
+        const auto end = sender.stream(
             {.url = "http://" + (*made)->address() + "/" + path},
             {.first_byte = seconds(60), .between_bytes = seconds(60)},
             [](auto) { return true; });
@@ -108,10 +109,10 @@
     }
 }
 
-// A graceful stop: the node is told to stop while an answer is under way and
-// another caller's kept connection is idle. The answer goes out whole, and
-// the idle connection doesn't hold the stop up.
-TEST(server, stop_lets_answers_under_way_finish)
+// A graceful stop while a response is in progress and another caller's
+// keep-alive connection is idle: the response is completed, and the idle
+// connection doesn't delay the stop.
+TEST(server, stop_completes_responses_in_progress)
 {
     std::atomic<bool> begun = false;
     std::atomic<bool> go_on = false;
@@ -131,31 +132,31 @@
     result<response> got;
     begun = false;
     std::thread caller([&] {
-        client asks;
-        got = asks.fetch({.url = url + "/slow"},
-                         {.first_byte = hours(1), .between_bytes = hours(1)});
+        client sender;
+        got = sender.fetch({.url = url + "/slow"},
+                           {.first_byte = hours(1), .between_bytes = hours(1)});
     });
     while (!begun)
         std::this_thread::yield();
     std::thread stopper([&] { made->reset(); });
     const request probe{.url = url + "/quick", .fresh_connection = true};
-    const auto turned_away = [&] {
+    const auto is_rejected = [&] {
         const auto seen = idle.fetch(probe, {});
         return seen && seen->status == 503 &&
                seen->field("X-Request-Ran") == "no" &&
                seen->body.find(R"("outcome":"not_run")") != std::string::npos;
     };
-    while (!turned_away())
+    while (!is_rejected())
         std::this_thread::yield();
-    go_on = true; // The stop is under way: new callers aren't served.
+    go_on = true; // The server is draining: new requests are rejected.
     stopper.join();
     caller.join();
     CHECK(got && got->body == "onetwo");
     CHECK(!idle.fetch({.url = url + "/quick"}, {}));
 }
 
-// A node dies with streams open. Callers see their connections break at once,
-// not when the node's threads have noticed, and nobody listens there any more.
+// A node dies with open streams. Callers see their connections close at once,
+// before the node's handlers have returned, and the port no longer accepts.
 TEST(server, abort_breaks_connections_without_waiting)
 {
     std::atomic<bool> begun = false;
@@ -170,20 +171,20 @@
         written = it.write("two");
     });
     const request what{.url = "http://" + (*made)->address() + "/"};
-    const transfer_timeouts patient{.first_byte = hours(1),
-                                    .between_bytes = hours(1)};
+    const transfer_timeouts long_timeouts{.first_byte = hours(1),
+                                          .between_bytes = hours(1)};
     transfer end;
     std::thread caller([&] {
-        client asks;
-        end = asks.stream(what, patient, [](auto) { return true; });
+        client sender;
+        end = sender.stream(what, long_timeouts, [](auto) { return true; });
     });
     while (!begun)
         std::this_thread::yield();
     (*made)->abort();
     caller.join();
     CHECK(end.outcome == transfer_outcome::broken);
-    client asks;
-    CHECK(asks.fetch(what, {}).error().code == error_code::unavailable);
+    client sender;
+    CHECK(sender.fetch(what, {}).error().code == error_code::unavailable);
     go_on = true;
     made->reset();
     CHECK_FALSE(written);
