--- a/include/fennelladder/gateway/calls.hpp
+++ b/include/fennelladder/gateway/calls.hpp
@@ -1,11 +1,12 @@
-// What callers ask, as typed values, and how they are read from HTTP.
+// Typed representations of callers' requests, and their parsing from HTTP.
 //
 //     findings found;
 //     auto call = read_completion(head, body, found);
 //     if (!call)
-//         return reply_bad_request(found); // nothing ran, nothing is charged
+//         return reply_bad_request(found); // nothing has run or is charged
 //
-// docs/API.md describes the protocol; names of headers are constants here.
+// docs/API.md describes the protocol. The names of its headers are constants
+// of this file.
 
 #ifndef FENNELLADDER_GATEWAY_CALLS_HPP
 #define FENNELLADDER_GATEWAY_CALLS_HPP
@@ -22,7 +23,7 @@
 
 namespace fennelladder::gateway {
 
-/// Headers of the callers' protocol.
+/// Names of the headers of the callers' protocol.
 namespace header_name {
 constexpr const char* team = "Fennelladder-Team";
 constexpr const char* budget = "Fennelladder-Budget";
@@ -40,42 +41,43 @@
 constexpr const char* billed = "Fennelladder-Billed-Tokens";
 } // namespace header_name
 
-/// Longest id or key that callers may send, in bytes.
+/// Maximum length of an id or key in a request, in bytes.
 constexpr std::size_t max_name_bytes = 200;
 
-/// Largest prompt, in bytes.
+/// Maximum length of a prompt, in bytes.
 constexpr std::size_t max_prompt_bytes = 800'000;
 
-/// Largest `max_tokens` that a caller may ask for.
+/// Maximum value of `max_tokens` in a request, in tokens.
 constexpr std::int64_t max_output_limit = 1'000'000;
 
-/// Who asks, on whose budget, and under which key.
+/// Header fields that all calls share: the caller, the budget that is charged
+/// and the request key.
 struct call_head
 {
     team_id team;
     budget_id budget;
     caller_kind kind;
-    caller_id caller;      ///< For the spread of entry answers; optional.
-    request_key key;       ///< Empty: the node makes one.
-    request_id request;    ///< Of this arrival; empty: none given.
-    incarnation_id origin; ///< Empty: the key is bound to no node.
-    std::optional<duration> deadline; ///< Empty: that of the caller kind.
-    bool forwarded = false;           ///< Another node passed it on.
+    caller_id caller;      ///< Spreads entry responses over nodes; optional.
+    request_key key;       ///< If empty, the node generates one.
+    request_id request;    ///< Of this transmission; empty if not given.
+    incarnation_id origin; ///< If empty, the key is bound to no node.
+    std::optional<duration> deadline; ///< If unset, that of the caller kind.
+    bool forwarded = false;           ///< Another node forwarded it.
 };
 
-/// A completion by a model engine.
+/// A request for a completion by a model engine.
 struct completion_call
 {
     call_head head;
     model_id model;
-    model_version version; ///< Empty: the team's default.
-    adapter_id adapter;    ///< Empty: the bare model.
+    model_version version; ///< If empty, the team's default.
+    adapter_id adapter;    ///< If empty, the model without an adapter.
     std::string prompt;
     std::int64_t max_output = 0; ///< Tokens.
     bool stream = false;
 };
 
-/// A call of a plain service. The body is passed on as it is.
+/// A call to a plain service. The body is forwarded unmodified.
 struct service_call
 {
     call_head head;
@@ -84,19 +86,23 @@
     std::string body;
 };
 
-/// Value of a request header by name, or empty.
+/// Returns the value of a request header by name, or an empty string.
 using header_reader = std::function<std::string_view(const char* name)>;
 
-/// Reads the headers that all calls share; what is wrong goes to `found`.
+/// Reads the headers that all calls share; adds every error to `found`.
+/// Thread safe.
 call_head read_head(const header_reader& header, findings& found);
 
-/// Reads a completion from its JSON body. Returns nothing when something was
-/// found (head included). Thread safe.
+/// Reads a completion from its headers and JSON body. Adds every error to
+/// `found` and returns nothing unless `found` is empty. Thread safe.
 std::optional<completion_call> read_completion(const header_reader& header,
                                                std::string_view body,
                                                findings& found);
 
-/// Reads a service call from "/v1/services/SERVICE/CALL". Thread safe.
+/// Reads a service call from its headers and a path of the form
+/// "/v1/services/SERVICE/CALL". Adds every error to `found` and returns nothing
+/// unless `found` is empty. Precondition: `path` starts with "/v1/services/".
+/// Thread safe.
 std::optional<service_call> read_service_call(const header_reader& header,
                                               std::string_view path,
                                               std::string body,
--- a/libs/gateway/answer_writer.cpp
+++ b/libs/gateway/answer_writer.cpp
@@ -1,5 +1,6 @@
-// Events are the dialect of the completions call: one JSON object per "data:"
-// line, then "[DONE]". What is ours sits under the member "fennelladder".
+// Streams use the event format of the completions API: one JSON object per
+// "data:" line, then "[DONE]". Fields that extend this format are in the member
+// "fennelladder".
 
 #include "fennelladder/gateway/answer_writer.hpp"
 
@@ -26,20 +27,20 @@
     return std::chrono::ceil<milliseconds>(length).count();
 }
 
-ordered_json facts_of(const outcome_reply& reply, std::string_view origin)
+ordered_json extension_of(const outcome_reply& reply, std::string_view origin)
 {
-    ordered_json facts;
-    facts["outcome"] = to_string(reply.result);
-    facts["code"] = to_string(reply.code);
-    facts["key"] = reply.key.str();
+    ordered_json extension;
+    extension["outcome"] = to_string(reply.result);
+    extension["code"] = to_string(reply.code);
+    extension["key"] = reply.key.str();
     if (!origin.empty())
-        facts["origin"] = origin;
-    facts["billed_tokens"] = reply.billed.count();
+        extension["origin"] = origin;
+    extension["billed_tokens"] = reply.billed.count();
     if (!reply.digest.empty())
-        facts["digest"] = reply.digest;
+        extension["digest"] = reply.digest;
     if (reply.retry_useful)
-        facts["retry_after_ms"] = to_milliseconds(reply.retry_after);
-    return facts;
+        extension["retry_after_ms"] = to_milliseconds(reply.retry_after);
+    return extension;
 }
 
 ordered_json usage_of(const token_usage& usage)
@@ -49,12 +50,12 @@
             {"total_tokens", usage.prompt + usage.output}};
 }
 
-ordered_json choice_of(std::string_view text, bool last)
+ordered_json choice_of(std::string_view text, bool is_last)
 {
     ordered_json choice;
     choice["index"] = 0;
     choice["text"] = text;
-    choice["finish_reason"] = last ? ordered_json("stop") : ordered_json();
+    choice["finish_reason"] = is_last ? ordered_json("stop") : ordered_json();
     return ordered_json::array({choice});
 }
 
@@ -91,12 +92,12 @@
     body["error"] = {{"code", to_string(reply.code)},
                      {"message", "the request ended as " +
                                      std::string(to_string(reply.result))}};
-    body.update(facts_of(reply, origin));
+    body.update(extension_of(reply, origin));
     return dump(body);
 }
 
-answer_writer::answer_writer(http::exchange& to, answer_options form)
-    : to_(to), form_(std::move(form))
+answer_writer::answer_writer(http::exchange& exchange, answer_options options)
+    : exchange_(exchange), options_(std::move(options))
 {}
 
 std::vector<http::response_header>
@@ -107,8 +108,8 @@
         {header_name::code, std::string(to_string(reply.code))},
         {header_name::key, reply.key.str()},
         {header_name::billed, std::to_string(reply.billed.count())}};
-    if (!form_.origin.empty())
-        all.push_back({header_name::origin, form_.origin});
+    if (!options_.origin.empty())
+        all.push_back({header_name::origin, options_.origin});
     if (!reply.digest.empty())
         all.push_back({header_name::digest, reply.digest});
     if (reply.retry_useful) {
@@ -120,87 +121,88 @@
 
 bool answer_writer::text(std::string_view piece)
 {
-    if (!form_.stream) {
-        whole_ += piece;
-        return !gone_;
+    if (!options_.stream) {
+        buffer_ += piece;
+        return !disconnected_;
     }
-    if (gone_)
+    if (disconnected_)
         return false;
-    if (!begun_) {
-        begun_ = true;
+    if (!stream_started_) {
+        stream_started_ = true;
         http::server_response head;
         head.content_type = "text/event-stream";
         head.headers = {{"Cache-Control", "no-store"},
-                        {header_name::key, form_.key.str()}};
-        if (!form_.origin.empty())
-            head.headers.push_back({header_name::origin, form_.origin});
-        gone_ = !to_.begin_stream(head);
+                        {header_name::key, options_.key.str()}};
+        if (!options_.origin.empty())
+            head.headers.push_back({header_name::origin, options_.origin});
+        disconnected_ = !exchange_.begin_stream(head);
     }
     ordered_json event;
-    event["id"] = form_.key.str();
+    event["id"] = options_.key.str();
     event["object"] = "text_completion";
-    event["model"] = form_.model;
+    event["model"] = options_.model;
     event["choices"] = choice_of(piece, false);
-    gone_ = gone_ || !to_.write("data: " + dump(event) + "\n\n");
-    return !gone_;
+    disconnected_ =
+        disconnected_ || !exchange_.write("data: " + dump(event) + "\n\n");
+    return !disconnected_;
 }
 
 bool answer_writer::keep_alive()
 {
-    if (begun_ && !gone_)
-        gone_ = !to_.write(":\n\n");
-    return !gone_;
+    if (stream_started_ && !disconnected_)
+        disconnected_ = !exchange_.write(":\n\n");
+    return !disconnected_;
 }
 
 void answer_writer::end_stream(const outcome_reply& reply,
                                const token_usage& usage)
 {
     ordered_json event;
-    event["id"] = form_.key.str();
+    event["id"] = options_.key.str();
     event["object"] = "text_completion";
-    event["model"] = form_.model;
-    const bool whole = reply.result == outcome::answered;
-    if (whole) {
+    event["model"] = options_.model;
+    const bool complete = reply.result == outcome::answered;
+    if (complete) {
         event["choices"] = choice_of("", true);
         event["usage"] = usage_of(usage);
     } else {
         event["error"] = {{"code", to_string(reply.code)}};
     }
-    event["fennelladder"] = facts_of(reply, form_.origin);
+    event["fennelladder"] = extension_of(reply, options_.origin);
     std::string text = "data: " + dump(event) + "\n\n";
-    if (whole)
+    if (complete)
         text += "data: [DONE]\n\n";
-    if (!gone_ && to_.write(text))
-        to_.end_stream();
+    if (!disconnected_ && exchange_.write(text))
+        exchange_.end_stream();
 }
 
 void answer_writer::end(const outcome_reply& reply, const token_usage& usage)
 {
-    if (begun_)
+    if (stream_started_)
         return end_stream(reply, usage);
-    if (gone_)
+    if (disconnected_)
         return;
-    const bool whole =
+    const bool complete =
         reply.result == outcome::answered && reply.code == reply_code::ok;
-    if (whole && form_.stream) {
+    if (complete && options_.stream) {
         text("");
         return end_stream(reply, usage);
     }
-    http::server_response made{.status = status_of(reply),
-                               .headers = headers(reply)};
-    if (whole) {
+    http::server_response response{.status = status_of(reply),
+                                   .headers = headers(reply)};
+    if (complete) {
         ordered_json body;
-        body["id"] = form_.key.str();
+        body["id"] = options_.key.str();
         body["object"] = "text_completion";
-        body["model"] = form_.model;
-        body["choices"] = choice_of(whole_, true);
+        body["model"] = options_.model;
+        body["choices"] = choice_of(buffer_, true);
         body["usage"] = usage_of(usage);
-        body["fennelladder"] = facts_of(reply, form_.origin);
-        made.body = dump(body);
+        body["fennelladder"] = extension_of(reply, options_.origin);
+        response.body = dump(body);
     } else {
-        made.body = error_body(reply, form_.origin);
+        response.body = error_body(reply, options_.origin);
     }
-    to_.reply(made);
+    exchange_.reply(response);
 }
 
 void answer_writer::end_service_call(const outcome_reply& reply, int status,
@@ -209,10 +211,10 @@
 {
     if (reply.result != outcome::answered || reply.code != reply_code::ok)
         return end(reply, {});
-    to_.reply({.status = status,
-               .content_type = content_type,
-               .headers = headers(reply),
-               .body = body});
+    exchange_.reply({.status = status,
+                     .content_type = content_type,
+                     .headers = headers(reply),
+                     .body = body});
 }
 
 } // namespace fennelladder::gateway
--- a/libs/gateway/calls.cpp
+++ b/libs/gateway/calls.cpp
@@ -1,6 +1,6 @@
-// Every fault of a call is collected, so that a caller mends all at once.
-// Unknown members of the body are let pass: other dialects of the completions
-// call send members that mean nothing here.
+// All errors of a call are collected, so that a caller can fix them at once.
+// Unknown members of the body are ignored: clients of other variants of the
+// completions API send members that have no meaning here.
 
 #include "fennelladder/gateway/calls.hpp"
 
@@ -20,8 +20,8 @@
 constexpr std::int64_t max_deadline_ms = 3'600'000;
 constexpr std::string_view services_prefix = "/v1/services/";
 
-void add(findings& found, std::string source, std::string inside,
-         std::string message)
+void add_error(findings& found, std::string source, std::string inside,
+               std::string message)
 {
     found.add({std::move(source), std::move(inside)},
               telemetry::event::call_invalid, std::move(message));
@@ -38,11 +38,11 @@
 {
     const std::string_view value = header(name);
     if (value.empty() && required)
-        add(found, "header", name, "is missing");
+        add_error(found, "header", name, "is missing");
     if (value.size() > max_name_bytes)
-        add(found, "header", name, "is longer than 200 bytes");
+        add_error(found, "header", name, "is longer than 200 bytes");
     else if (!is_printable(value))
-        add(found, "header", name, "has blanks or control characters");
+        add_error(found, "header", name, "has blanks or control characters");
     return std::string(value);
 }
 
@@ -54,11 +54,11 @@
         return {};
     std::int64_t count = 0;
     const char* end = text.data() + text.size();
-    const auto [stop, ec] = std::from_chars(text.data(), end, count);
-    const bool whole = ec == std::errc() && stop == end;
-    if (!whole || count < 1 || count > max_deadline_ms) {
-        add(found, "header", header_name::deadline,
-            "is not a number of milliseconds from 1 to 3600000");
+    const auto [parsed_end, ec] = std::from_chars(text.data(), end, count);
+    const bool valid = ec == std::errc() && parsed_end == end;
+    if (!valid || count < 1 || count > max_deadline_ms) {
+        add_error(found, "header", header_name::deadline,
+                  "is not a number of milliseconds from 1 to 3600000");
         return {};
     }
     return milliseconds(count);
@@ -71,17 +71,17 @@
     const std::string pointer = std::string("/") + name;
     if (it == body.end() || it->is_null()) {
         if (required)
-            add(found, "body", pointer, "is missing");
+            add_error(found, "body", pointer, "is missing");
         return {};
     }
     if (!it->is_string()) {
-        add(found, "body", pointer, "is not a string");
+        add_error(found, "body", pointer, "is not a string");
         return {};
     }
     auto text = it->get<std::string>();
     if (text.size() > limit)
-        add(found, "body", pointer,
-            "is longer than " + std::to_string(limit) + " bytes");
+        add_error(found, "body", pointer,
+                  "is longer than " + std::to_string(limit) + " bytes");
     return text;
 }
 
@@ -90,11 +90,11 @@
     const auto it = body.find("max_tokens");
     if (it == body.end() || it->is_null())
         return default_max_output;
-    const bool whole = it->is_number_integer();
-    const auto value = whole ? it->get<std::int64_t>() : 0;
+    const bool valid = it->is_number_integer();
+    const auto value = valid ? it->get<std::int64_t>() : 0;
     if (value < 1 || value > max_output_limit)
-        add(found, "body", "/max_tokens",
-            "is not a whole number from 1 to 1000000");
+        add_error(found, "body", "/max_tokens",
+                  "is not a whole number from 1 to 1000000");
     return value;
 }
 
@@ -104,7 +104,7 @@
     if (it == body.end() || it->is_null())
         return false;
     if (!it->is_boolean()) {
-        add(found, "body", "/stream", "is not true or false");
+        add_error(found, "body", "/stream", "is not true or false");
         return false;
     }
     return it->get<bool>();
@@ -141,7 +141,7 @@
     call.head = read_head(header, found);
     const json parsed = json::parse(body, nullptr, false);
     if (!parsed.is_object()) {
-        add(found, "body", "", "is not a JSON object");
+        add_error(found, "body", "", "is not a JSON object");
         return {};
     }
     const auto text = [&](const char* name, bool required, std::size_t limit) {
@@ -174,7 +174,7 @@
         call.service = service_id(std::string(rest.substr(0, slash)));
         call.call = std::string(rest.substr(slash + 1));
     } else {
-        add(found, "path", "", "is not /v1/services/SERVICE/CALL");
+        add_error(found, "path", "", "is not /v1/services/SERVICE/CALL");
     }
     if (!found.empty())
         return {};
--- a/libs/gateway/calls_test.cpp
+++ b/libs/gateway/calls_test.cpp
@@ -10,9 +10,9 @@
 
 using headers = std::map<std::string, std::string>;
 
-const headers good_head{{"Fennelladder-Team", "t"},
-                        {"Fennelladder-Budget", "b"},
-                        {"Fennelladder-Caller-Kind", "mechanic"}};
+const headers valid_headers{{"Fennelladder-Team", "t"},
+                            {"Fennelladder-Budget", "b"},
+                            {"Fennelladder-Caller-Kind", "mechanic"}};
 
 header_reader reader(const headers& all)
 {
@@ -23,9 +23,9 @@
     };
 }
 
-headers with(std::string name, std::string value)
+headers valid_headers_with(std::string name, std::string value)
 {
-    headers all = good_head;
+    headers all = valid_headers;
     all[std::move(name)] = std::move(value);
     return all;
 }
@@ -34,48 +34,54 @@
 
 TEST_GROUP(calls){};
 
-// A caller's client is broken: it gets every fault named at once, and since
-// nothing was read from it no request exists, so nothing runs or is charged.
-TEST(calls, faults_of_a_completion_are_named)
+// A malformed completion is rejected with all its errors at once.
+// Since no call is returned, nothing runs and nothing is charged.
+TEST(calls, errors_of_a_completion_are_reported)
 {
-    const std::string good = R"({"model":"m","prompt":"p"})";
+    const std::string valid_body = R"({"model":"m","prompt":"p"})";
     struct
     {
         headers head;
         std::string body;
-        const char* fault; // empty: it is good
+        const char* error; // empty: the call is valid
     } const cases[] = {
-        {good_head, good, ""},
-        {good_head, R"({"model":"m","prompt":"","max_tokens":1000000})", ""},
-        {good_head, R"({"model":"m","prompt":"p","temperature":1})", ""},
-        {{}, good, "header Fennelladder-Team: is missing"},
-        {with("Fennelladder-Team", "a b"), good, "has blanks"},
-        {with("Idempotency-Key", std::string(201, 'k')), good, "longer than"},
-        {with("Fennelladder-Deadline-Ms", "0"), good, "milliseconds"},
-        {with("Fennelladder-Deadline-Ms", "5s"), good, "milliseconds"},
-        {good_head, "", "body: is not a JSON object"},
-        {good_head, "[1]", "is not a JSON object"},
-        {good_head, R"({"model":"m")", "is not a JSON object"},
-        {good_head, R"({"prompt":"p"})", "body /model: is missing"},
-        {good_head, R"({"model":7,"prompt":"p"})", "/model: is not a string"},
-        {good_head, R"({"model":"m","prompt":"p","max_tokens":0})",
+        {valid_headers, valid_body, ""},
+        {valid_headers, R"({"model":"m","prompt":"","max_tokens":1000000})",
+         ""},
+        {valid_headers, R"({"model":"m","prompt":"p","temperature":1})", ""},
+        {{}, valid_body, "header Fennelladder-Team: is missing"},
+        {valid_headers_with("Fennelladder-Team", "a b"), valid_body,
+         "has blanks"},
+        {valid_headers_with("Idempotency-Key", std::string(201, 'k')),
+         valid_body, "longer than"},
+        {valid_headers_with("Fennelladder-Deadline-Ms", "0"), valid_body,
+         "milliseconds"},
+        {valid_headers_with("Fennelladder-Deadline-Ms", "5s"), valid_body,
+         "milliseconds"},
+        {valid_headers, "", "body: is not a JSON object"},
+        {valid_headers, "[1]", "is not a JSON object"},
+        {valid_headers, R"({"model":"m")", "is not a JSON object"},
+        {valid_headers, R"({"prompt":"p"})", "body /model: is missing"},
+        {valid_headers, R"({"model":7,"prompt":"p"})",
+         "/model: is not a string"},
+        {valid_headers, R"({"model":"m","prompt":"p","max_tokens":0})",
          "/max_tokens"},
-        {good_head, R"({"model":"m","prompt":"p","max_tokens":1.5})",
+        {valid_headers, R"({"model":"m","prompt":"p","max_tokens":1.5})",
          "/max_tokens"},
-        {good_head, R"({"model":"m","prompt":"p","stream":1})", "/stream"},
+        {valid_headers, R"({"model":"m","prompt":"p","stream":1})", "/stream"},
     };
     for (const auto& it : cases) {
         findings found;
         const auto call = read_completion(reader(it.head), it.body, found);
-        CHECK_EQUAL(*it.fault == '\0', call.has_value());
+        CHECK_EQUAL(*it.error == '\0', call.has_value());
         CHECK_EQUAL(call.has_value(), found.empty());
-        STRCMP_CONTAINS(it.fault, found.to_text().c_str());
+        STRCMP_CONTAINS(it.error, found.to_text().c_str());
     }
 }
 
-TEST(calls, a_completion_is_read_whole)
+TEST(calls, all_fields_of_a_completion_are_read)
 {
-    headers head = with("Idempotency-Key", "k1");
+    headers head = valid_headers_with("Idempotency-Key", "k1");
     head["Fennelladder-Origin"] = "o.1";
     head["Fennelladder-Deadline-Ms"] = "250";
     findings found;
@@ -94,12 +100,12 @@
     CHECK(call->stream);
 }
 
-TEST(calls, service_paths)
+TEST(calls, only_well_formed_service_paths_are_accepted)
 {
     struct
     {
         const char* path;
-        bool good;
+        bool valid;
     } const cases[] = {{"/v1/services/desk/ticket", true},
                        {"/v1/services/desk/", false},
                        {"/v1/services//ticket", false},
@@ -108,7 +114,7 @@
     for (const auto& it : cases) {
         findings found;
         const auto call =
-            read_service_call(reader(good_head), it.path, "{}", found);
-        CHECK_EQUAL(it.good, call.has_value());
+            read_service_call(reader(valid_headers), it.path, "{}", found);
+        CHECK_EQUAL(it.valid, call.has_value());
     }
 }
--- a/libs/http/client.cpp
+++ b/libs/http/client.cpp
@@ -120,14 +120,14 @@
            std::ranges::none_of(what.headers, bad);
 }
 
-std::string encode(std::string_view text, std::string_view kept)
+std::string percent_encode(std::string_view text, std::string_view unescaped)
 {
     constexpr std::string_view digits = "0123456789ABCDEF";
     std::string out;
     for (const char c : text) {
         const auto byte = static_cast<unsigned char>(c);
         const bool plain = byte < 0x80 && (std::isalnum(byte) != 0 ||
-                                           kept.find(c) != kept.npos);
+                                           unescaped.find(c) != unescaped.npos);
         if (plain) {
             out += c;
             continue;
@@ -621,12 +621,12 @@
 
 std::string encode_path(std::string_view text)
 {
-    return encode(text, "-._~/");
+    return percent_encode(text, "-._~/");
 }
 
 std::string encode_query(std::string_view text)
 {
-    return encode(text, "-._~");
+    return percent_encode(text, "-._~");
 }
 
 } // namespace fennelladder::http
