--- a/libs/gateway/calls_test.cpp
+++ b/libs/gateway/calls_test.cpp
@@ -23,7 +23,7 @@
     };
 }
 
-headers valid_headers_with(std::string name, std::string value)
+headers with(std::string name, std::string value)
 {
     headers all = valid_headers;
     all[std::move(name)] = std::move(value);
@@ -50,14 +50,11 @@
          ""},
         {valid_headers, R"({"model":"m","prompt":"p","temperature":1})", ""},
         {{}, valid_body, "header Fennelladder-Team: is missing"},
-        {valid_headers_with("Fennelladder-Team", "a b"), valid_body,
-         "has blanks"},
-        {valid_headers_with("Idempotency-Key", std::string(201, 'k')),
-         valid_body, "longer than"},
-        {valid_headers_with("Fennelladder-Deadline-Ms", "0"), valid_body,
-         "milliseconds"},
-        {valid_headers_with("Fennelladder-Deadline-Ms", "5s"), valid_body,
-         "milliseconds"},
+        {with("Fennelladder-Team", "a b"), valid_body, "has blanks"},
+        {with("Idempotency-Key", std::string(201, 'k')), valid_body,
+         "longer than"},
+        {with("Fennelladder-Deadline-Ms", "0"), valid_body, "milliseconds"},
+        {with("Fennelladder-Deadline-Ms", "5s"), valid_body, "milliseconds"},
         {valid_headers, "", "body: is not a JSON object"},
         {valid_headers, "[1]", "is not a JSON object"},
         {valid_headers, R"({"model":"m")", "is not a JSON object"},
@@ -81,7 +78,7 @@
 
 TEST(calls, all_fields_of_a_completion_are_read)
 {
-    headers head = valid_headers_with("Idempotency-Key", "k1");
+    headers head = with("Idempotency-Key", "k1");
     head["Fennelladder-Origin"] = "o.1";
     head["Fennelladder-Deadline-Ms"] = "250";
     findings found;
