--- a/include/fennelladder/peer/local_peers.hpp
+++ b/include/fennelladder/peer/local_peers.hpp
@@ -1,5 +1,5 @@
-// Peers within one process, by direct call: the fake for tests, with cuts
-// between nodes that can be made and mended.
+// An in-process peer network for tests. Nodes call each other directly, and can
+// be made unreachable and reachable again.
 
 #ifndef FENNELLADDER_PEER_LOCAL_PEERS_HPP
 #define FENNELLADDER_PEER_LOCAL_PEERS_HPP
@@ -11,12 +11,13 @@
 
 namespace fennelladder::peer {
 
-/// Nodes that reach each other by direct call. Thread safe; no lock is held
-/// while a handler runs.
+/// Delivers requests by direct calls of the handlers. Thread safe; no lock is
+/// held while a handler runs. Timeouts are ignored.
 class local_peer_network final : public peer_network
 {
 public:
-    /// Makes `handler` reachable at `address`; nullptr makes it unreachable.
+    /// Makes `handler` reachable at `address`; nullptr makes the address
+    /// unreachable. `handler` must outlive its registration.
     void serve(const peer_address& address, peer_handler* handler);
 
     result<std::string> send_request(const peer_address& to, topic what,
--- a/include/fennelladder/peer/messages.hpp
+++ b/include/fennelladder/peer/messages.hpp
@@ -1,4 +1,5 @@
-// Encodings of the messages that no deciding library encodes by itself.
+// Encoding of the peer messages that the libraries which handle them don't
+// encode themselves.
 
 #ifndef FENNELLADDER_PEER_MESSAGES_HPP
 #define FENNELLADDER_PEER_MESSAGES_HPP
@@ -16,14 +17,15 @@
 
 namespace fennelladder::peer {
 
-/// Records for the hinted owner of a shard.
+/// Records sent to the presumed owner of a shard.
 struct append_request
 {
     shard_id shard;
     std::vector<journal::record> records;
 };
 
-/// Thread safe, as the others. decode_* fail with `corrupt`.
+/// All functions of this file are thread safe. The decode functions fail with
+/// `corrupt`.
 std::string encode(const append_request& message);
 result<append_request> decode_append_request(std::string_view bytes);
 
@@ -31,7 +33,7 @@
 result<std::vector<journal::applied_record>>
 decode_append_response(std::string_view bytes);
 
-/// An ask for tokens, or the taker's last word on one.
+/// A token request, or the requester's final confirmation of one.
 using transfer_request =
     std::variant<budget::transfer_ask, budget::transfer_confirm>;
 
@@ -41,18 +43,18 @@
 std::string encode(const budget::transfer_reply& answer);
 result<budget::transfer_reply> decode_transfer_response(std::string_view bytes);
 
-/// Answered by a yes or a no.
+/// The response is a boolean, see encode_bool().
 std::string encode(const budget::ceiling_ask& message);
 result<budget::ceiling_ask> decode_witness_request(std::string_view bytes);
 
-/// Answered by a yes or a no.
+/// The response is a boolean, see encode_bool().
 std::string encode(const budget::copy_message& message);
 result<budget::copy_message> decode_copies_request(std::string_view bytes);
 
-std::string encode_bool(bool yes);
+std::string encode_bool(bool value);
 result<bool> decode_bool(std::string_view bytes);
 
-/// Records that `sender` witnessed.
+/// Suspect records that `sender` observed.
 struct suspects_request
 {
     incarnation_id sender;
--- a/include/fennelladder/peer/peer_service.hpp
+++ b/include/fennelladder/peer/peer_service.hpp
@@ -1,16 +1,15 @@
-// What one node asks of another: bytes on a topic, answered by bytes.
+// Requests between nodes: bytes on a topic, answered by bytes.
 //
-// The library that decides about a topic encodes and decodes its messages;
-// peers only carry them. Every message must be harmless when it arrives twice
-// or late, since a lost answer can't be told from a lost question.
+// The library that handles a topic encodes and decodes its messages; this one
+// only transports them. Every message must be idempotent and harmless when it
+// arrives late, since a lost response can't be told from a lost request.
 //
-//     result<std::string> answer = peers.send_request(address,
-//     topic::heartbeat,
-//                                            encode(message), seconds(1));
+//     result<std::string> response = peers.send_request(
+//         address, topic::heartbeat, encode(message), seconds(1));
 //
-// Errors of send_request(): `unavailable` (it never left this node),
-// `ambiguous` (it may have been acted on), and whatever the other node's
-// handler failed with.
+// Errors of send_request(): `unavailable` (the request wasn't sent),
+// `ambiguous` (the other node may have handled it), and any error that the
+// other node's handler returned.
 
 #ifndef FENNELLADDER_PEER_PEER_SERVICE_HPP
 #define FENNELLADDER_PEER_PEER_SERVICE_HPP
@@ -24,48 +23,51 @@
 
 namespace fennelladder::peer {
 
-/// What a message is about. Numbers are those on the wire; never reused.
+/// The subject of a message. The numbers are used on the wire and are never
+/// reused.
 enum class topic : std::int32_t
 {
     heartbeat = 1,     ///< membership::heartbeat
     append = 2,        ///< records for the journal, see messages.hpp
-    transfer = 3,      ///< a node asks for tokens of an allotment
-    witness = 4,       ///< a node tells a raised ceiling
-    keep_bills = 5,    ///< copies of bills that wait for the journal
-    suspects = 6,      ///< requests that targets died of
+    transfer = 3,      ///< token request to another node
+    witness = 4,       ///< report of a raised ceiling to a witness
+    keep_bills = 5,    ///< copies of bills not yet in the journal
+    suspects = 6,      ///< requests that may have killed targets
     configuration = 7, ///< root or part of the configuration
-    outcome = 8,       ///< what became of a request key
-    layout = 9         ///< how the journal is cut, see journal/layout.hpp
+    outcome = 8,       ///< outcome of a request key
+    layout = 9         ///< shard layout of the journal, see journal/layout.hpp
 };
 
-/// The stable name of a topic, or "unknown".
+/// Returns the stable name of a topic, or "unknown".
 std::string_view to_string(topic what);
 
-/// Largest message or answer, in bytes. A part of the configuration, the
-/// largest there is, stays under a megabyte.
+/// Maximum size of a request or response, in bytes. The largest message, a
+/// part of the configuration, is smaller than 1 MB.
 constexpr std::size_t max_message_bytes = 2'000'000;
 
-/// An "IP:port" of a node's peer service.
+/// The "IP:port" of a node's peer service.
 using peer_address = std::string;
 
-/// Answers other nodes' questions. Implementations are thread safe.
+/// Handles requests of other nodes. Implementations are thread safe.
 class peer_handler
 {
 public:
     virtual ~peer_handler() = default;
 
-    /// Answers one question, within the time that the asker waits.
+    /// Handles one request and returns the response. Must finish within the
+    /// requester's timeout.
     virtual result<std::string> handle_request(topic what,
                                                std::string_view message) = 0;
 };
 
-/// Asks other nodes. Implementations are thread safe.
+/// Sends requests to other nodes. Implementations are thread safe.
 class peer_network
 {
 public:
     virtual ~peer_network() = default;
 
-    /// Asks the node at `to` and waits up to `timeout` for its answer.
+    /// Sends a request to the node at `to` and waits up to `timeout` for the
+    /// response. The errors are listed at the top of this file.
     virtual result<std::string> send_request(const peer_address& to, topic what,
                                              std::string_view message,
                                              duration timeout) = 0;
--- a/include/fennelladder/peer/thrift_peers.hpp
+++ b/include/fennelladder/peer/thrift_peers.hpp
@@ -1,14 +1,14 @@
-// Peers over TCP by Thrift's compact protocol.
+// The peer network over TCP, using Thrift's compact protocol.
 //
 //     auto server = thrift_peer_server::start("127.0.0.1:0", handler, {});
 //     thrift_peer_network peers({});
 //     peers.send_request(server.value()->address(), topic::heartbeat, bytes,
-//     limit);
+//                        timeout);
 //
-// Connections are kept and used again. One that goes silent is dropped at the
-// question's timeout together with all idle ones to the same node, since
-// whatever lost track of one has mostly lost the others too; the next question
-// dials anew.
+// Connections are pooled and reused. When a request times out, its connection
+// is closed together with all idle ones to the same node: whatever lost the
+// state of one connection, such as a device between the nodes, has usually lost
+// that of the others as well. The next request opens a new connection.
 
 #ifndef FENNELLADDER_PEER_THRIFT_PEERS_HPP
 #define FENNELLADDER_PEER_THRIFT_PEERS_HPP
@@ -22,30 +22,30 @@
 
 namespace fennelladder::peer {
 
-/// Limits of the serving side.
+/// Limits of a server.
 struct peer_server_options
 {
-    int threads = 8; ///< Questions answered at once; more wait.
+    int threads = 8; ///< Requests handled concurrently; others wait.
 };
 
-/// Serves a handler. One thread watches all connections, so that hundreds of
-/// idle ones cost memory only.
+/// Serves requests with a handler. A single I/O thread monitors all
+/// connections, so that hundreds of idle ones cost only memory.
 class thrift_peer_server
 {
 public:
-    /// Fails with `unavailable` when `listen` ("IP:port", port 0 for any)
-    /// can't be listened on, `invalid` when it can't be read. `handler` must
-    /// outlive the server.
+    /// Starts a server at `listen` ("IP:port"; port 0 picks a free one). Fails
+    /// with `unavailable` if it can't listen there, and with `invalid` if
+    /// `listen` can't be parsed. `handler` must outlive the server.
     static result<std::unique_ptr<thrift_peer_server>>
     start(const std::string& listen, peer_handler& handler,
           const peer_server_options& options);
 
-    /// Stops; waits for answers under way.
+    /// Stops the server and waits for running handlers.
     ~thrift_peer_server();
     thrift_peer_server(const thrift_peer_server&) = delete;
     thrift_peer_server& operator=(const thrift_peer_server&) = delete;
 
-    /// "IP:port" as other nodes reach it.
+    /// The "IP:port" at which other nodes reach the server.
     const peer_address& address() const { return address_; }
 
 private:
@@ -56,7 +56,7 @@
     peer_address address_;
 };
 
-/// Limits of the asking side.
+/// Limits of a client.
 struct peer_network_options
 {
     duration connect_timeout = milliseconds(300);
@@ -64,7 +64,7 @@
     duration max_idle_time = seconds(20);
 };
 
-/// Bytes and questions carried since the start.
+/// Requests and payload bytes since the start.
 struct peer_traffic
 {
     std::uint64_t requests = 0;
@@ -73,7 +73,7 @@
     std::uint64_t bytes_received = 0;
 };
 
-/// Thread safe.
+/// Sends requests over pooled TCP connections. Thread safe.
 class thrift_peer_network final : public peer_network
 {
 public:
--- a/libs/peer/budget_messages.cpp
+++ b/libs/peer/budget_messages.cpp
@@ -1,5 +1,5 @@
-// Messages about budgets. A bill travels in its stored form, so that a copy is
-// what the journal would have got from the biller.
+// Messages about budgets. A bill is sent in its stored encoding, so that a copy
+// is identical to the record that the journal would have got from the biller.
 
 #include "fennelladder/peer/messages.hpp"
 
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::string_view yes_bytes = "y";
-constexpr std::string_view no_bytes = "n";
+constexpr std::string_view true_bytes = "y";
+constexpr std::string_view false_bytes = "n";
 
 std::uint64_t to_unsigned(std::int64_t value)
 {
@@ -36,14 +36,14 @@
     return out;
 }
 
-wire::transfer_question to_wire(const budget::transfer_confirm& word)
+wire::transfer_question to_wire(const budget::transfer_confirm& confirmation)
 {
     wire::transfer_question out;
-    out.taker = word.taker.str();
-    out.giver = word.giver.str();
-    out.number = to_signed(word.ask);
+    out.taker = confirmation.taker.str();
+    out.giver = confirmation.giver.str();
+    out.number = to_signed(confirmation.ask);
     out.word = true;
-    out.credited = word.credited;
+    out.credited = confirmation.credited;
     return out;
 }
 
@@ -92,7 +92,7 @@
     if (auto ok = from_bytes(bytes, in); !ok)
         return tl::unexpected(ok.error());
     if (in.amount < 0)
-        return fail(error_code::corrupt, "negative transfer");
+        return fail(error_code::corrupt, "negative amount in a token transfer");
     budget::transfer_reply answer;
     answer.ask = to_unsigned(in.ask);
     answer.id.giver = incarnation_id(in.giver);
@@ -151,7 +151,7 @@
             return tl::unexpected(body.error());
         const auto* charge = std::get_if<budget::bill>(&*body);
         if (charge == nullptr)
-            return fail(error_code::corrupt, "a copy that is no bill");
+            return fail(error_code::corrupt, "copied record is not a bill");
         message.bills.push_back({shard_id(to_unsigned(it.shard)), *charge});
     }
     for (const auto& [shard, number] : in.done_up_to)
@@ -159,16 +159,17 @@
     return message;
 }
 
-std::string encode_bool(bool yes)
+std::string encode_bool(bool value)
 {
-    return std::string(yes ? yes_bytes : no_bytes);
+    return std::string(value ? true_bytes : false_bytes);
 }
 
 result<bool> decode_bool(std::string_view bytes)
 {
-    if (bytes != yes_bytes && bytes != no_bytes)
-        return fail(error_code::corrupt, "neither yes nor no");
-    return bytes == yes_bytes;
+    if (bytes != true_bytes && bytes != false_bytes)
+        return fail(error_code::corrupt,
+                    "boolean message is neither \"y\" nor \"n\"");
+    return bytes == true_bytes;
 }
 
 } // namespace fennelladder::peer
--- a/libs/peer/messages.cpp
+++ b/libs/peer/messages.cpp
@@ -1,4 +1,4 @@
-// Thrift's compact protocol over a memory buffer.
+// Messages about journal records, encoded in Thrift's compact protocol.
 
 #include "fennelladder/peer/messages.hpp"
 
@@ -10,7 +10,7 @@
 namespace {
 
 template <class Wire>
-void write_mark(Wire& to, const journal::record_mark& from)
+void mark_to_wire(Wire& to, const journal::record_mark& from)
 {
     to.writer = from.writer.str();
     to.sequence = static_cast<std::int64_t>(from.sequence);
@@ -19,7 +19,7 @@
 }
 
 template <class Wire>
-journal::record_mark read_mark(const Wire& from)
+journal::record_mark mark_from_wire(const Wire& from)
 {
     return {.writer = incarnation_id(from.writer),
             .sequence = static_cast<std::uint64_t>(from.sequence),
@@ -35,7 +35,7 @@
     out.shard = static_cast<std::int64_t>(message.shard.value());
     for (const journal::record& it : message.records) {
         wire::record_message one;
-        write_mark(one, it.mark);
+        mark_to_wire(one, it.mark);
         one.type = it.type;
         one.payload = it.payload;
         out.records.push_back(std::move(one));
@@ -52,7 +52,7 @@
     message.shard = shard_id(static_cast<std::uint64_t>(in.shard));
     for (wire::record_message& it : in.records)
         message.records.push_back(
-            {read_mark(it), it.type, std::move(it.payload)});
+            {mark_from_wire(it), it.type, std::move(it.payload)});
     return message;
 }
 
@@ -61,7 +61,7 @@
     wire::append_answer out;
     for (const journal::applied_record& it : applied) {
         wire::applied_message one;
-        write_mark(one, it.mark);
+        mark_to_wire(one, it.mark);
         one.outcome = static_cast<std::int32_t>(it.outcome);
         one.reply = it.reply;
         one.found = it.found;
@@ -81,8 +81,9 @@
         static_cast<std::int32_t>(journal::record_outcome::retired);
     for (wire::applied_message& it : in.applied) {
         if (it.outcome < 0 || it.outcome > last)
-            return fail(error_code::corrupt, "outcome of a record");
-        applied.push_back({read_mark(it),
+            return fail(error_code::corrupt,
+                        "unknown outcome of a journal record");
+        applied.push_back({mark_from_wire(it),
                            static_cast<journal::record_outcome>(it.outcome),
                            std::move(it.reply), it.found});
     }
--- a/libs/peer/suspect_messages.cpp
+++ b/libs/peer/suspect_messages.cpp
@@ -1,4 +1,4 @@
-// Messages about requests that targets died of.
+// Messages about requests that are suspected of having killed targets.
 
 #include "fennelladder/peer/messages.hpp"
 
--- a/libs/peer/thrift_peers.cpp
+++ b/libs/peer/thrift_peers.cpp
@@ -1,6 +1,7 @@
-// The server is Thrift's non-blocking one: one thread watches every
-// connection, a few others answer. The client keeps idle connections per
-// address, newest first, so that surplus ones age and are closed.
+// The server is Thrift's non-blocking server: one I/O thread monitors all
+// connections and a few worker threads handle requests. The client pools idle
+// connections by address, most recently used first, so that surplus ones
+// reach the maximum idle time and are closed.
 
 #include "fennelladder/peer/thrift_peers.hpp"
 
@@ -30,41 +31,42 @@
 
 constexpr duration wake_interval = milliseconds(2);
 
-struct ip_and_port
+struct socket_address
 {
     std::string ip;
     int port = 0;
 };
 
-result<ip_and_port> parse_address(const std::string& text)
+result<socket_address> parse_address(const std::string& text)
 {
     const auto colon = text.rfind(':');
-    ip_and_port parsed;
+    socket_address parsed;
     if (colon == std::string::npos)
-        return fail(error_code::invalid, "no port in " + text);
+        return fail(error_code::invalid, "address without a port: " + text);
     parsed.ip = text.substr(0, colon);
     const char* end = text.data() + text.size();
     const auto [stop, ec] =
         std::from_chars(text.data() + colon + 1, end, parsed.port);
     if (ec != std::errc() || stop != end)
-        return fail(error_code::invalid, "no port in " + text);
+        return fail(error_code::invalid, "invalid port in address " + text);
     return parsed;
 }
 
 void ignore_output(const char*)
 {}
 
-// Thrift prints connection errors by itself; callers here get them as values.
-void silence_thrift()
+// Thrift prints connection errors by default; here they are returned to the
+// caller instead.
+void disable_thrift_output()
 {
     static std::once_flag once;
     std::call_once(once, [] { GlobalOutput.setOutputFunction(ignore_output); });
 }
 
-class service_adapter final : public wire::peer_serviceIf
+class thrift_handler final : public wire::peer_serviceIf
 {
 public:
-    explicit service_adapter(peer_handler& handler) : handler_(handler) {}
+    explicit thrift_handler(peer_handler& handler) : handler_(handler) {}
 
     void ask(std::string& answer, std::int32_t what,
              const std::string& message) override
@@ -89,7 +91,7 @@
     std::shared_ptr<transport::TSocket> socket;
     std::shared_ptr<transport::TFramedTransport> framed;
     std::unique_ptr<wire::peer_serviceClient> client;
-    steady::time_point used;
+    steady::time_point last_used;
 };
 
 int to_milliseconds(duration length)
@@ -113,7 +115,7 @@
     std::shared_ptr<concurrency::ThreadManager> workers;
     std::shared_ptr<transport::TNonblockingServerSocket> socket;
     std::shared_ptr<server::TNonblockingServer> server;
-    std::atomic<bool> ended{false}; // serve() has returned
+    std::atomic<bool> ended{false}; // serve() has returned.
     std::thread loop;
 };
 
@@ -125,7 +127,7 @@
 thrift_peer_server::start(const std::string& listen, peer_handler& handler,
                           const peer_server_options& options)
 {
-    silence_thrift();
+    disable_thrift_output();
     const auto where = parse_address(listen);
     if (!where)
         return tl::unexpected(where.error());
@@ -140,7 +142,7 @@
             where->ip, where->port);
         made->server = std::make_shared<server::TNonblockingServer>(
             std::make_shared<wire::peer_serviceProcessor>(
-                std::make_shared<service_adapter>(handler)),
+                std::make_shared<thrift_handler>(handler)),
             std::make_shared<protocol::TCompactProtocolFactory>(), made->socket,
             made->workers);
         made->server->setMaxFrameSize(max_message_bytes);
@@ -160,10 +162,10 @@
     return it;
 }
 
-// Guards against a stop that never ends: stop() only sets a flag, at which the
-// loop looks when something happens on a socket, and which a loop that is just
-// starting clears. A connection to ourselves makes something happen; it is
-// made again until the loop has ended.
+// Prevents a stop that never completes: stop() only sets a flag, which the loop
+// checks on socket activity and which a loop that is just starting clears.
+// Connecting to the server itself causes socket activity; this is repeated
+// until the loop has ended.
 thrift_peer_server::~thrift_peer_server()
 {
     const auto self = parse_address(address_);
@@ -173,7 +175,7 @@
         try {
             wake.open();
         } catch (const std::exception&) {
-            // Not listening any more, so the loop is about to end.
+            // The server no longer listens, so the loop is about to end.
         }
         std::this_thread::sleep_for(wake_interval);
     }
@@ -185,7 +187,7 @@
 {
     peer_network_options options;
 
-    // Guards idle. Held for moments only, never during a call.
+    // Guards idle. Held only briefly, never during network I/O.
     std::mutex mutex;
     std::map<peer_address, std::deque<connection>> idle;
 
@@ -194,22 +196,22 @@
     std::atomic<std::uint64_t> bytes_sent{0};
     std::atomic<std::uint64_t> bytes_received{0};
 
-    bool take_idle(const peer_address& to, connection& out);
-    void keep(const peer_address& to, connection&& it);
-    void drop_idle(const peer_address& to);
-    result<connection> dial(const peer_address& to) const;
-    result<std::string> exchange(const peer_address& to, connection& over,
-                                 topic what, std::string_view message,
-                                 bool& broken);
+    bool acquire_idle(const peer_address& to, connection& out);
+    void release(const peer_address& to, connection&& it);
+    void close_idle(const peer_address& to);
+    result<connection> connect(const peer_address& to) const;
+    result<std::string> call(const peer_address& to, connection& over,
+                             topic what, std::string_view message,
+                             bool& broken);
 };
 
-bool thrift_peer_network::state::take_idle(const peer_address& to,
-                                           connection& out)
+bool thrift_peer_network::state::acquire_idle(const peer_address& to,
+                                              connection& out)
 {
     const std::lock_guard lock(mutex);
     auto& list = idle[to];
     const auto oldest = steady::now() - options.max_idle_time;
-    while (!list.empty() && list.back().used < oldest)
+    while (!list.empty() && list.back().last_used < oldest)
         list.pop_back();
     if (list.empty())
         return false;
@@ -218,9 +220,10 @@
     return true;
 }
 
-void thrift_peer_network::state::keep(const peer_address& to, connection&& it)
+void thrift_peer_network::state::release(const peer_address& to,
+                                         connection&& it)
 {
-    it.used = steady::now();
+    it.last_used = steady::now();
     const std::lock_guard lock(mutex);
     auto& list = idle[to];
     list.push_front(std::move(it));
@@ -228,16 +231,16 @@
         list.pop_back();
 }
 
-// Guards against connections that went silent for good: when one did, its
-// idle siblings are likely as dead, and each would cost a whole timeout.
-void thrift_peer_network::state::drop_idle(const peer_address& to)
+// Closes all idle connections to a node after one of them timed out or failed:
+// the others have likely failed as well, and each would cost a full timeout.
+void thrift_peer_network::state::close_idle(const peer_address& to)
 {
     const std::lock_guard lock(mutex);
     idle.erase(to);
 }
 
 result<connection>
-thrift_peer_network::state::dial(const peer_address& to) const
+thrift_peer_network::state::connect(const peer_address& to) const
 {
     const auto where = parse_address(to);
     if (!where)
@@ -257,10 +260,11 @@
     return made;
 }
 
-result<std::string>
-thrift_peer_network::state::exchange(const peer_address& to, connection& over,
-                                     topic what, std::string_view message,
-                                     bool& broken)
+result<std::string> thrift_peer_network::state::call(const peer_address& to,
+                                                     connection& over,
+                                                     topic what,
+                                                     std::string_view message,
+                                                     bool& broken)
 {
     try {
         std::string answer;
@@ -279,7 +283,7 @@
 thrift_peer_network::thrift_peer_network(const peer_network_options& options)
     : state_(std::make_unique<state>())
 {
-    silence_thrift();
+    disable_thrift_output();
     state_->options = options;
 }
 
@@ -291,11 +295,12 @@
                                                       duration timeout)
 {
     if (message.size() > max_message_bytes)
-        return fail(error_code::too_large, "message to " + to);
+        return fail(error_code::too_large,
+                    "message over the size limit to " + to);
     ++state_->requests;
     connection over;
-    if (!state_->take_idle(to, over)) {
-        auto made = state_->dial(to);
+    if (!state_->acquire_idle(to, over)) {
+        auto made = state_->connect(to);
         if (!made) {
             ++state_->failures;
             return tl::unexpected(made.error());
@@ -306,12 +311,12 @@
     over.socket->setSendTimeout(to_milliseconds(timeout));
     state_->bytes_sent += message.size();
     bool broken = false;
-    auto answer = state_->exchange(to, over, what, message, broken);
+    auto answer = state_->call(to, over, what, message, broken);
     if (broken) {
         ++state_->failures;
-        state_->drop_idle(to);
+        state_->close_idle(to);
     } else {
-        state_->keep(to, std::move(over));
+        state_->release(to, std::move(over));
     }
     return answer;
 }
