--- a/include/fennelladder/http/client.hpp
+++ b/include/fennelladder/http/client.hpp
@@ -162,11 +162,11 @@
     /// status. Errors: those of transfer::to_error(), and `too_large`, after
     /// which the request may have run as well.
     result<response> fetch(const request& what,
-                           const transfer_timeouts& limits);
+                           const transfer_timeouts& timeouts);
 
     /// Sends the request and passes body bytes on as they arrive.
     /// Callbacks run on the calling thread.
-    transfer stream(const request& what, const transfer_timeouts& limits,
+    transfer stream(const request& what, const transfer_timeouts& timeouts,
                     const body_callback& on_body,
                     const head_callback& on_head = {},
                     const cancel_check& canceled = {});
--- a/libs/http/client.cpp
+++ b/libs/http/client.cpp
@@ -209,10 +209,10 @@
 {
 public:
     transfer_driver(session& on, const request& what,
-                    const transfer_timeouts& limits,
+                    const transfer_timeouts& timeouts,
                     const client_options& options, const body_callback& on_body,
                     const head_callback& on_head, const cancel_check& canceled)
-        : session_(on), request_(what), timeouts_(limits), options_(options),
+        : session_(on), request_(what), timeouts_(timeouts), options_(options),
           on_body_(on_body), on_head_(on_head), canceled_(canceled),
           headers_(make_header_list(what)), started_(steady::now()),
           last_progress_(started_)
@@ -573,7 +573,7 @@
 
 client::~client() = default;
 
-transfer client::stream(const request& what, const transfer_timeouts& limits,
+transfer client::stream(const request& what, const transfer_timeouts& timeouts,
                         const body_callback& on_body,
                         const head_callback& on_head,
                         const cancel_check& canceled)
@@ -585,9 +585,9 @@
         return end;
     }
     auto on = pool_->acquire(address, what.fresh_connection);
-    end =
-        transfer_driver(*on, what, limits, options_, on_body, on_head, canceled)
-            .run();
+    end = transfer_driver(*on, what, timeouts, options_, on_body, on_head,
+                          canceled)
+              .run();
     // After any other outcome the state of the connection is unknown: it is
     // closed here together with the session, also after a timeout.
     if (end.complete() && !what.fresh_connection)
@@ -596,14 +596,14 @@
 }
 
 result<response> client::fetch(const request& what,
-                               const transfer_timeouts& limits)
+                               const transfer_timeouts& timeouts)
 {
     response received;
     const auto append_body = [&](std::string_view bytes) {
         received.body += bytes;
         return received.body.size() <= options_.max_body_bytes;
     };
-    transfer end = stream(what, limits, append_body);
+    transfer end = stream(what, timeouts, append_body);
     if (end.outcome == transfer_outcome::stopped)
         return fail(error_code::too_large,
                     "response body over the limit from " + what.url);
--- a/libs/http/scripted_server.hpp
+++ b/libs/http/scripted_server.hpp
@@ -2,7 +2,7 @@
 // receives, on any connection, is answered by the n-th step.
 //
 //     scripted_server server({{.send = ok("hi")}, {.then = after::hang}});
-//     client.fetch({.url = server.url()}, limits);
+//     client.fetch({.url = server.url()}, timeouts);
 //     CHECK(server.requests() == 1);
 
 #ifndef FENNELLADDER_HTTP_SCRIPTED_SERVER_HPP
