--- a/libs/peer/messages.cpp
+++ b/libs/peer/messages.cpp
@@ -1,4 +1,4 @@
-// Thrift's compact protocol over a memory buffer.
+// Messages about journal records, encoded in Thrift's compact protocol.
 
 #include "fennelladder/peer/messages.hpp"
 
@@ -10,7 +10,7 @@
 namespace {
 
 template <class Wire>
-void write_mark(Wire& to, const journal::record_mark& from)
+void mark_to_wire(Wire& to, const journal::record_mark& from)
 {
     to.writer = from.writer.str();
     to.sequence = static_cast<std::int64_t>(from.sequence);
@@ -19,7 +19,7 @@
 }
 
 template <class Wire>
-journal::record_mark read_mark(const Wire& from)
+journal::record_mark mark_from_wire(const Wire& from)
 {
     return {.writer = incarnation_id(from.writer),
             .sequence = static_cast<std::uint64_t>(from.sequence),
@@ -29,13 +29,13 @@
 
 } // namespace
 
-std::string encode(const append_question& message)
+std::string encode(const append_request& message)
 {
     wire::append_message out;
     out.shard = static_cast<std::int64_t>(message.shard.value());
     for (const journal::record& it : message.records) {
         wire::record_message one;
-        write_mark(one, it.mark);
+        mark_to_wire(one, it.mark);
         one.type = it.type;
         one.payload = it.payload;
         out.records.push_back(std::move(one));
@@ -43,16 +43,16 @@
     return to_bytes(out);
 }
 
-result<append_question> decode_append_question(std::string_view bytes)
+result<append_request> decode_append_request(std::string_view bytes)
 {
     wire::append_message in;
     if (auto ok = from_bytes(bytes, in); !ok)
         return tl::unexpected(ok.error());
-    append_question message;
+    append_request message;
     message.shard = shard_id(static_cast<std::uint64_t>(in.shard));
     for (wire::record_message& it : in.records)
         message.records.push_back(
-            {read_mark(it), it.type, std::move(it.payload)});
+            {mark_from_wire(it), it.type, std::move(it.payload)});
     return message;
 }
 
@@ -61,7 +61,7 @@
     wire::append_answer out;
     for (const journal::applied_record& it : applied) {
         wire::applied_message one;
-        write_mark(one, it.mark);
+        mark_to_wire(one, it.mark);
         one.outcome = static_cast<std::int32_t>(it.outcome);
         one.reply = it.reply;
         one.found = it.found;
@@ -71,7 +71,7 @@
 }
 
 result<std::vector<journal::applied_record>>
-decode_append_answer(std::string_view bytes)
+decode_append_response(std::string_view bytes)
 {
     wire::append_answer in;
     if (auto ok = from_bytes(bytes, in); !ok)
@@ -81,8 +81,9 @@
         static_cast<std::int32_t>(journal::record_outcome::retired);
     for (wire::applied_message& it : in.applied) {
         if (it.outcome < 0 || it.outcome > last)
-            return fail(error_code::corrupt, "outcome of a record");
-        applied.push_back({read_mark(it),
+            return fail(error_code::corrupt,
+                        "unknown outcome of a journal record");
+        applied.push_back({mark_from_wire(it),
                            static_cast<journal::record_outcome>(it.outcome),
                            std::move(it.reply), it.found});
     }
