--- a/libs/catalog/configuration.cpp
+++ b/libs/catalog/configuration.cpp
@@ -1,5 +1,5 @@
-// Routes of one host name are kept longest prefix first, so the first match
-// is the longest.
+// Routes of one host name are sorted by descending prefix length, so that the
+// first match is the longest.
 
 #include "fennelladder/catalog/configuration.hpp"
 
@@ -8,7 +8,7 @@
 
 namespace fennelladder::catalog {
 
-std::string normal_host_name(std::string_view host_name)
+std::string normalize_host_name(std::string_view host_name)
 {
     const auto colon = host_name.rfind(':');
     if (colon != std::string_view::npos &&
@@ -23,7 +23,7 @@
 
 namespace {
 
-/// Keeps the regions that `other` names too, where it names any.
+/// Intersects `to` with `other`; an empty `other` allows any region.
 void narrow(allowed_regions& to, const std::vector<region_id>& other)
 {
     if (other.empty())
@@ -39,10 +39,10 @@
 
 } // namespace
 
-allowed_regions regions_for(const route& way, const team* payer)
+allowed_regions regions_for(const route& matched, const team* payer)
 {
     allowed_regions out;
-    narrow(out, way.regions);
+    narrow(out, matched.regions);
     if (payer != nullptr)
         narrow(out, payer->regions);
     return out;
@@ -53,7 +53,7 @@
 {
     for (std::size_t i = 0; i < parts_.routes.size(); ++i) {
         route& it = parts_.routes[i];
-        it.host_name = normal_host_name(it.host_name);
+        it.host_name = normalize_host_name(it.host_name);
         by_host_[it.host_name].push_back(i);
     }
     for (auto& [host, routes] : by_host_)
@@ -72,7 +72,7 @@
 const route* configuration::find_route(std::string_view host_name,
                                        std::string_view path) const
 {
-    const auto it = by_host_.find(normal_host_name(host_name));
+    const auto it = by_host_.find(normalize_host_name(host_name));
     if (it == by_host_.end())
         return nullptr;
     for (const std::size_t i : it->second)
@@ -84,7 +84,7 @@
 allowed_regions configuration::regions_of_host(std::string_view host_name) const
 {
     allowed_regions out;
-    const auto it = by_host_.find(normal_host_name(host_name));
+    const auto it = by_host_.find(normalize_host_name(host_name));
     if (it == by_host_.end())
         return out;
     for (const std::size_t i : it->second)
--- a/libs/dispatch/poison_list.cpp
+++ b/libs/dispatch/poison_list.cpp
@@ -7,36 +7,37 @@
 
 namespace fennelladder::dispatch {
 
-request_mark mark_of(std::string_view method, std::string_view path,
-                     const team_id& team, std::string_view body)
+request_fingerprint fingerprint_of(std::string_view method,
+                                   std::string_view path, const team_id& team,
+                                   std::string_view body)
 {
     std::uint64_t out = hash64(method);
     out = hash64(path, out);
     out = hash64(team.str(), out);
-    return request_mark(hash64(body, out));
+    return request_fingerprint(hash64(body, out));
 }
 
 poison_list::poison_list(poison_list_options options) : options_(options)
 {}
 
-bool poison_list::is_poison(request_mark mark, instant now) const
+bool poison_list::is_poison(request_fingerprint fingerprint, instant now) const
 {
-    const auto it = entries_.find(mark);
+    const auto it = entries_.find(fingerprint);
     return it != entries_.end() &&
            it->second.deaths.size() >= options_.deaths &&
-           now - it->second.last < options_.memory;
+           now - it->second.last < options_.retention;
 }
 
-bool poison_list::note_death(request_mark mark,
+bool poison_list::note_death(request_fingerprint fingerprint,
                              const catalog::target_process& target, instant now)
 {
-    entry& it = entries_[mark];
+    entry& it = entries_[fingerprint];
     const auto of_id =
         std::ranges::find(it.deaths, target.id, &catalog::target_process::id);
     const bool known_id = of_id != it.deaths.end();
-    if (known_id && !catalog::is_said(target.start))
+    if (known_id && !catalog::is_known(target.start))
         return false;
-    if (known_id && !catalog::is_said(of_id->start)) {
+    if (known_id && !catalog::is_known(of_id->start)) {
         of_id->start = target.start;
         return false;
     }
@@ -45,27 +46,27 @@
         return false;
     it.deaths.insert(place, target);
     it.last = now;
-    forget(now);
+    evict(now);
     return true;
 }
 
 bool poison_list::merge(const poison_record& record, instant now)
 {
-    bool news = false;
+    bool changed = false;
     for (const catalog::target_process& it : record.deaths)
-        news |= note_death(record.mark, it, now);
-    return news;
+        changed |= note_death(record.mark, it, now);
+    return changed;
 }
 
-void poison_list::forget(instant now)
+void poison_list::evict(instant now)
 {
-    if (entries_.size() <= options_.most_records)
+    if (entries_.size() <= options_.max_records)
         return;
     std::erase_if(entries_, [&](const auto& it) {
-        return now - it.second.last >= options_.memory;
+        return now - it.second.last >= options_.retention;
     });
-    // Still full: those with one death are the least worth keeping.
-    if (entries_.size() > options_.most_records)
+    // Still full: drop records below the threshold, the least valuable ones.
+    if (entries_.size() > options_.max_records)
         std::erase_if(entries_, [&](const auto& it) {
             return it.second.deaths.size() < options_.deaths;
         });
@@ -75,9 +76,9 @@
                                                instant now) const
 {
     std::vector<std::pair<instant, poison_record>> found;
-    for (const auto& [mark, it] : entries_)
+    for (const auto& [fingerprint, it] : entries_)
         if (now - it.last < span)
-            found.push_back({it.last, {mark, it.deaths}});
+            found.push_back({it.last, {fingerprint, it.deaths}});
     std::ranges::sort(found, std::greater<>(),
                       [](const auto& it) { return it.first; });
     std::vector<poison_record> out;
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -16,15 +16,16 @@
 namespace event = telemetry::event;
 
 constexpr duration log_period = milliseconds(100);
-constexpr duration upkeep_period = seconds(1);
+constexpr duration maintenance_period = seconds(1);
 
-/// Between two lines that sum up calls and traffic: 0.2 lines a second.
+/// Interval of the log lines that sum up calls and traffic: 0.2 lines a second.
 constexpr duration summary_period = seconds(10);
-constexpr duration drain_check = milliseconds(20);
-constexpr duration hand_over_limit = milliseconds(500);
+constexpr duration drain_check_period = milliseconds(20);
+constexpr duration token_hand_over_timeout = milliseconds(500);
 
-/// Kept back of the time until SIGKILL, to hand tokens on and end.
-constexpr duration reserve_at_end = milliseconds(700);
+/// Part of the grace period before SIGKILL that is reserved for transferring
+/// tokens and stopping.
+constexpr duration shutdown_reserve = milliseconds(700);
 
 std::uint64_t random_seed()
 {
@@ -51,7 +52,7 @@
                      adapter::host_settings settings, edge_node_options options,
                      telemetry::line_writer& log)
     : io_(io), options_(std::move(options)), log_(log),
-      tables_(io, time, std::move(settings), random_seed(), options_.decide),
+      tables_(io, time, std::move(settings), random_seed(), options_.tuning),
       client_(tables_), mesh_(tables_, peer_address(tables_.settings)),
       desk_(tables_, client_,
             [this](const std::string& address, const mesh::datagram& message) {
@@ -75,20 +76,20 @@
     };
     const auto& listen = tables_.settings.listen;
     if (auto ok = serve(listen.readiness,
-                        [this](const simple_request& asked) {
-                            return answer_readiness(asked);
+                        [this](const simple_request& request) {
+                            return answer_readiness(request);
                         });
         !ok)
         return ok;
     if (auto ok = serve(listen.entry,
-                        [this](const simple_request& asked) {
-                            return answer_entry(asked);
+                        [this](const simple_request& request) {
+                            return answer_entry(request);
                         });
         !ok)
         return ok;
     if (auto ok = serve(options_.metrics_address,
-                        [this](const simple_request& asked) {
-                            return answer_metrics(asked);
+                        [this](const simple_request& request) {
+                            return answer_metrics(request);
                         });
         !ok)
         return ok;
@@ -97,16 +98,16 @@
 
 status edge_node::start()
 {
-    mesh_.connect_desk(desk_);
+    mesh_.set_token_desk(desk_);
     if (auto ok = mesh_.start(); !ok)
         return ok;
     if (auto ok = start_servers(); !ok)
         return ok;
-    introduce_seeds();
+    add_seed_nodes();
     feed_.start();
     desk_.start();
     spawn(io_, watch_signals());
-    spawn(io_, housekeeping());
+    spawn(io_, run_periodic_tasks());
     log_event(event::node_started,
               {{"host", tables_.settings.host.str()},
                {"listen", tables_.settings.listen.callers},
@@ -114,14 +115,14 @@
     return {};
 }
 
-/// Nodes reach each other at the first internal port, which is the same on all
-/// hosts.
-void edge_node::introduce_seeds()
+/// All nodes listen for peers on the first internal port, which is the same on
+/// all hosts.
+void edge_node::add_seed_nodes()
 {
     std::vector<std::string> seeds;
     for (const std::string& it : tables_.settings.seeds)
         seeds.push_back(with_port(it, tables_.settings.first_internal_port));
-    mesh_.introduce(seeds);
+    mesh_.add_peer_addresses(seeds);
 }
 
 awaitable<void> edge_node::watch_signals()
@@ -142,21 +143,22 @@
 
 awaitable<void> edge_node::leave()
 {
-    const instant begun = tables_.now();
-    const instant end = begun + tables_.settings.stop_grace - reserve_at_end;
+    const instant started = tables_.now();
+    const instant end =
+        started + tables_.settings.stop_grace - shutdown_reserve;
     log_event(event::node_stopping,
-              {{"under_way", std::to_string(callers_.under_way())}});
+              {{"under_way", std::to_string(callers_.requests_in_flight())}});
     tables_.leaving = true;
-    callers_.announce_leaving();
-    tables_.spread_news();
+    callers_.start_draining();
+    tables_.broadcast_update();
     asio::steady_timer timer(io_);
-    co_await sleep_on(timer, options_.serve_on);
+    co_await sleep_on(timer, options_.drain_delay);
     callers_.stop_accepting();
-    callers_.refuse_new();
-    while (callers_.under_way() > 0 && tables_.now() < end)
-        co_await sleep_on(timer, drain_check);
-    const std::size_t left = callers_.under_way();
-    co_await desk_.hand_over(hand_over_limit);
+    callers_.reject_new_requests();
+    while (callers_.requests_in_flight() > 0 && tables_.now() < end)
+        co_await sleep_on(timer, drain_check_period);
+    const std::size_t left = callers_.requests_in_flight();
+    co_await desk_.push_all(token_hand_over_timeout);
     log_event(left == 0 ? event::node_stopped : event::node_left_unclean,
               {{"under_way", std::to_string(left)}});
     log_.flush(tables_.now());
@@ -175,26 +177,26 @@
         return;
     }
     settings_text_ = std::move(text);
-    // Addresses and limits hold for the life of the process; what can move
-    // is where the store and other nodes are.
+    // Listening addresses and limits are fixed for this incarnation. Only the
+    // addresses of the store and the seeds, and the grace period, can change.
     tables_.settings.store_address = read->store_address;
     tables_.settings.seeds = read->seeds;
     tables_.settings.stop_grace = read->stop_grace;
-    introduce_seeds();
+    add_seed_nodes();
     log_event(event::settings_reloaded, {{"path", options_.settings_path}});
 }
 
-awaitable<void> edge_node::housekeeping()
+awaitable<void> edge_node::run_periodic_tasks()
 {
     asio::steady_timer timer(io_);
-    instant next_upkeep;
+    instant next_maintenance;
     instant next_summary = tables_.now() + summary_period;
     for (;;) {
         const instant now = tables_.now();
         log_.flush(now);
-        if (now >= next_upkeep) {
-            next_upkeep = now + upkeep_period;
-            tables_.pool.drop_old(now);
+        if (now >= next_maintenance) {
+            next_maintenance = now + maintenance_period;
+            tables_.pool.close_expired(now);
             tables_.update_sharing_hosts();
             reload_settings();
         }
@@ -208,9 +210,9 @@
     }
 }
 
-simple_answer edge_node::answer_readiness(const simple_request& asked)
+simple_response edge_node::answer_readiness(const simple_request& request)
 {
-    if (asked.path != adapter::readiness_path)
+    if (request.path != adapter::readiness_path)
         return {404, "text/plain", "no such path\n"};
     if (tables_.ready())
         return {200, "text/plain", "ready\n"};
@@ -218,13 +220,13 @@
             tables_.leaving ? "leaving\n" : "no configuration yet\n"};
 }
 
-/// Added up over a fleet: what would be lost with all nodes.
+/// The sum over a fleet is the amount that would be lost if all nodes failed.
 void edge_node::log_tokens()
 {
     tokens free;
     tokens reserved;
     tokens spent;
-    for (const auto& [team, it] : tables_.purse.holdings()) {
+    for (const auto& [team, it] : tables_.token_balances.holdings()) {
         free += it.free;
         reserved += it.reserved;
         spent += it.spent;
@@ -235,7 +237,7 @@
                {"spent", std::to_string(spent.count())}});
 }
 
-/// All nodes that callers may be told to use.
+/// The nodes that may be named to callers.
 std::vector<entry_node> edge_node::entry_nodes() const
 {
     std::vector<entry_node> out;
@@ -244,9 +246,9 @@
     if (tables_.state() == mesh::node_state::ready)
         out.push_back({settings.listen.callers, settings.data_center,
                        settings.region, tables_.capacity(),
-                       tables_.requests_taken.at(now)});
-    for (const mesh::node_row* it : tables_.nodes.alive(now)) {
-        const mesh::beacon& last = it->last;
+                       tables_.accepted_requests.at(now)});
+    for (const mesh::peer_record* it : tables_.peers.alive(now)) {
+        const mesh::node_heartbeat& last = it->last;
         if (last.state == mesh::node_state::ready &&
             !last.caller_address.empty())
             out.push_back({last.caller_address, last.data_center,
@@ -256,12 +258,12 @@
     return out;
 }
 
-simple_answer edge_node::answer_entry(const simple_request& asked)
+simple_response edge_node::answer_entry(const simple_request& request)
 {
-    if (asked.path != adapter::entry_path)
+    if (request.path != adapter::entry_path)
         return {404, "text/plain", "no such path\n"};
-    const auto question = adapter::read_entry_question(asked.query);
-    entry_asker asker{question.data_center, question.region, {}};
+    const auto question = adapter::parse_entry_query(request.query);
+    entry_query asker{question.data_center, question.region, {}};
     if (tables_.config)
         asker.regions = tables_.config->regions_of_host(question.host_name);
     const auto addresses =
@@ -271,19 +273,19 @@
     const duration validity = std::min(options_.entry_validity,
                                        tables_.settings.entry_validity_limit);
     return {200, "application/json",
-            adapter::encode_entry_answer(addresses, validity)};
+            adapter::encode_entry_response(addresses, validity)};
 }
 
 void edge_node::update_gauges()
 {
     auto& metrics = tables_.metrics;
     metrics.gauge_of("fennelladder_requests_under_way")
-        .set(static_cast<std::int64_t>(callers_.under_way()));
+        .set(static_cast<std::int64_t>(callers_.requests_in_flight()));
     metrics.gauge_of("fennelladder_nodes_alive")
         .set(static_cast<std::int64_t>(
-            tables_.nodes.alive(tables_.now()).size() + 1));
+            tables_.peers.alive(tables_.now()).size() + 1));
     metrics.gauge_of("fennelladder_platform_reached")
-        .set(tables_.contact.reached ? 1 : 0);
+        .set(tables_.platform.reached ? 1 : 0);
     metrics.gauge_of("fennelladder_configuration_version")
         .set(tables_.config
                  ? static_cast<std::int64_t>(tables_.config->version().value())
@@ -303,7 +305,7 @@
         .set(static_cast<std::int64_t>(tables_.pool.opened()));
     metrics.gauge_of("fennelladder_log_lines_dropped")
         .set(static_cast<std::int64_t>(log_.dropped()));
-    for (const auto& [team, it] : tables_.purse.holdings()) {
+    for (const auto& [team, it] : tables_.token_balances.holdings()) {
         const telemetry::labels where{{"team", team.str()}};
         metrics.gauge_of("fennelladder_tokens_free", where)
             .set(it.free.count());
@@ -314,9 +316,9 @@
     }
 }
 
-simple_answer edge_node::answer_metrics(const simple_request& asked)
+simple_response edge_node::answer_metrics(const simple_request& request)
 {
-    if (asked.path != options_.metrics_path)
+    if (request.path != options_.metrics_path)
         return {404, "text/plain", "no such path\n"};
     update_gauges();
     return {200, "text/plain; version=0.0.4", tables_.metrics.to_prometheus()};
--- a/libs/edge/platform_feed_configuration.cpp
+++ b/libs/edge/platform_feed_configuration.cpp
@@ -1,4 +1,4 @@
-// The part of platform_feed that follows the configuration.
+// Implements the configuration feed of platform_feed.
 
 #include "platform_feed_fetch.hpp"
 
@@ -13,20 +13,21 @@
 
 } // namespace
 
-/// Also when the newest one can't be read. Its age would otherwise make every
-/// node of the fleet list and watch, and none would read more in it than the
-/// two that do so anyway; the operator's next change reaches those at once.
+/// Also called if the newest configuration can't be parsed. Otherwise its age
+/// would make every node of the fleet list and watch, and none could parse more
+/// of it than the two that watch anyway. These get the operator's next change
+/// at once.
 void platform_feed::confirm_configuration(instant at)
 {
-    configuration_.age_before =
+    configuration_.previous_age =
         tables_.configuration_freshness.age(tables_.now());
     tables_.confirm_configuration(at);
-    // Whatever was announced, the platform has nothing newer.
+    // The platform has nothing newer, whatever peers have announced.
     tables_.configuration_announced.reset();
 }
 
-/// Guards against a small host that reads a megabyte, and keeps its callers
-/// waiting, to find what it has.
+/// Checked before parsing the rest. Guards against a small host that blocks its
+/// callers while it parses a megabyte that it already has.
 bool platform_feed::is_in_force(const adapter::stored_object& object) const
 {
     const auto version =
@@ -35,7 +36,7 @@
            *version <= tables_.config->version();
 }
 
-bool platform_feed::take_configuration(const adapter::stored_object& object)
+bool platform_feed::apply_configuration(const adapter::stored_object& object)
 {
     if (object.name != adapter::configuration_name || is_in_force(object))
         return true;
@@ -44,9 +45,9 @@
         note_unreadable(unreadable_kind::configuration, object, parts.error());
         return false;
     }
-    if (tables_.take_configuration(std::move(*parts), object.content->dump(),
-                                   "platform"))
-        tables_.spread_news();
+    if (tables_.apply_configuration(std::move(*parts), object.content->dump(),
+                                    "platform"))
+        tables_.broadcast_update();
     return true;
 }
 
@@ -55,39 +56,40 @@
     std::string target =
         adapter::list_target(object_kind::configuration, freshness::newest, "");
     const auto page =
-        co_await fetch(call_name::list_configuration, call_kind::listing,
+        co_await fetch(platform_call::list_configuration, call_kind::listing,
                        target, adapter::decode_page);
     if (!page)
         co_return false;
     for (const adapter::stored_object& it : page->value.objects)
-        take_configuration(it);
+        apply_configuration(it);
     configuration_as_of_ = page->value.as_of;
-    confirm_configuration(page->begun);
-    // The operator may not have written the first one yet.
+    confirm_configuration(page->first_byte_at);
+    // Fails if the operator hasn't written the first configuration yet.
     co_return tables_.config != nullptr;
 }
 
 awaitable<bool> platform_feed::watch_configuration()
 {
-    std::string target = adapter::watch_target(
-        object_kind::configuration, configuration_as_of_, limits_.watch_wait);
-    const auto news =
-        co_await fetch(call_name::watch_configuration, call_kind::watch, target,
-                       adapter::decode_watch);
-    if (!news)
+    std::string target =
+        adapter::watch_target(object_kind::configuration, configuration_as_of_,
+                              limits_.watch_timeout);
+    const auto answer =
+        co_await fetch(platform_call::watch_configuration, call_kind::watch,
+                       target, adapter::decode_watch);
+    if (!answer)
         co_return false;
-    for (const adapter::object_event& it : news->value.events)
-        if (!it.gone)
-            take_configuration(it.object);
-    configuration_as_of_ = news->value.as_of;
-    confirm_configuration(news->begun);
+    for (const adapter::object_event& it : answer->value.events)
+        if (!it.deleted)
+            apply_configuration(it.object);
+    configuration_as_of_ = answer->value.as_of;
+    confirm_configuration(answer->first_byte_at);
     co_return true;
 }
 
-mesh::news_view platform_feed::view_configuration()
+mesh::watch_inputs platform_feed::view_configuration()
 {
     const instant now = tables_.now();
-    mesh::news_view out = view_of(configuration_);
+    mesh::watch_inputs out = view_of(configuration_);
     out.age = tables_.configuration_freshness.age(now);
     if (tables_.configuration_announced)
         out.announced_for = now - *tables_.configuration_announced;
--- a/libs/edge/platform_feed_evacuations.cpp
+++ b/libs/edge/platform_feed_evacuations.cpp
@@ -1,7 +1,7 @@
-// The part of platform_feed that follows the operator's evacuations.
+// Implements the evacuations feed of platform_feed.
 //
-// An entry counts by its name alone, whatever it holds: an evacuation that was
-// asked for mustn't be missed since its content can't be read.
+// An entry is identified by its name alone, whatever it contains: a requested
+// evacuation mustn't be missed because its content can't be parsed.
 
 #include "platform_feed_fetch.hpp"
 
@@ -17,26 +17,27 @@
 bool is_data_center(const adapter::stored_object& object)
 {
     return !object.name.empty() &&
-           object.name.size() <= catalog::longest_target_text;
+           object.name.size() <= catalog::max_target_id_bytes;
 }
 
 } // namespace
 
 void platform_feed::confirm_evacuations(instant at)
 {
-    evacuations_.age_before = tables_.evacuations_freshness.age(tables_.now());
+    evacuations_.previous_age =
+        tables_.evacuations_freshness.age(tables_.now());
     tables_.confirm_evacuations(at);
 }
 
-void platform_feed::take_evacuations(catalog::evacuation_state state,
-                                     instant begun)
+void platform_feed::apply_evacuations(catalog::evacuation_state state,
+                                      instant first_byte_at)
 {
-    if (state.data_centers.size() > catalog::most_evacuations)
+    if (state.data_centers.size() > catalog::max_evacuations)
         note_unreadable(unreadable_kind::evacuation, {},
                         {error_code::corrupt, "too many"});
-    if (tables_.take_evacuations(std::move(state), "platform"))
-        tables_.spread_news();
-    confirm_evacuations(begun);
+    if (tables_.apply_evacuations(std::move(state), "platform"))
+        tables_.broadcast_update();
+    confirm_evacuations(first_byte_at);
 }
 
 awaitable<bool> platform_feed::list_evacuations()
@@ -44,8 +45,8 @@
     std::string target =
         adapter::list_target(object_kind::evacuations, freshness::newest, "");
     const auto page =
-        co_await fetch(call_name::list_evacuations, call_kind::listing, target,
-                       adapter::decode_page);
+        co_await fetch(platform_call::list_evacuations, call_kind::listing,
+                       target, adapter::decode_page);
     if (!page)
         co_return false;
     catalog::evacuation_state state{{}, page->value.as_of};
@@ -56,36 +57,37 @@
             note_unreadable(unreadable_kind::evacuation, it,
                             {error_code::corrupt, "no name"});
     }
-    take_evacuations(std::move(state), page->begun);
+    apply_evacuations(std::move(state), page->first_byte_at);
     co_return true;
 }
 
 awaitable<bool> platform_feed::watch_evacuations()
 {
-    // Another node's word may come meanwhile; the changes follow on this.
+    // The changes apply to this state. A peer may update the tables while the
+    // watch waits.
     catalog::evacuation_list known = tables_.evacuations;
     std::string target = adapter::watch_target(
-        object_kind::evacuations, known.as_of(), limits_.watch_wait);
-    const auto news =
-        co_await fetch(call_name::watch_evacuations, call_kind::watch, target,
-                       adapter::decode_watch);
-    if (!news)
+        object_kind::evacuations, known.as_of(), limits_.watch_timeout);
+    const auto answer =
+        co_await fetch(platform_call::watch_evacuations, call_kind::watch,
+                       target, adapter::decode_watch);
+    if (!answer)
         co_return false;
     std::vector<catalog::evacuation_change> changes;
-    for (const adapter::object_event& it : news->value.events) {
+    for (const adapter::object_event& it : answer->value.events) {
         if (is_data_center(it.object))
-            changes.push_back({data_center_id(it.object.name), !it.gone});
+            changes.push_back({data_center_id(it.object.name), !it.deleted});
         else
-            list_soon(evacuations_);
+            schedule_listing(evacuations_);
     }
-    known.apply(changes, news->value.as_of);
-    take_evacuations(known.state(), news->begun);
+    known.apply(changes, answer->value.as_of);
+    apply_evacuations(known.state(), answer->first_byte_at);
     co_return true;
 }
 
-mesh::news_view platform_feed::view_evacuations()
+mesh::watch_inputs platform_feed::view_evacuations()
 {
-    mesh::news_view out = view_of(evacuations_);
+    mesh::watch_inputs out = view_of(evacuations_);
     out.age = tables_.evacuations_freshness.age(tables_.now());
     return out;
 }
--- a/libs/edge/platform_feed_targets.cpp
+++ b/libs/edge/platform_feed_targets.cpp
@@ -1,4 +1,4 @@
-// The part of platform_feed that follows the list of targets.
+// Implements the targets feed of platform_feed.
 
 #include "platform_feed_fetch.hpp"
 
@@ -17,12 +17,12 @@
 
 void platform_feed::confirm_targets(instant at)
 {
-    targets_.age_before = tables_.targets_freshness.age(tables_.now());
+    targets_.previous_age = tables_.targets_freshness.age(tables_.now());
     tables_.confirm_targets(at);
 }
 
 std::optional<catalog::target_change>
-platform_feed::target_of(const adapter::stored_object& object)
+platform_feed::parse_target(const adapter::stored_object& object)
 {
     auto entry = object.content.and_then([&](const nlohmann::json& spec) {
         return adapter::decode_target(object.name, spec);
@@ -31,13 +31,13 @@
         note_unreadable(unreadable_kind::target, object, entry.error());
         return std::nullopt;
     }
-    return catalog::target_change{entry->id, *entry, object.changed};
+    return catalog::target_change{entry->id, *entry, object.revision};
 }
 
-/// An entry that was good and turns unreadable is a removal; one that never
-/// was good is nothing, however often its writer changes it.
+/// An entry that was valid and becomes unreadable counts as a removal. One that
+/// was never valid is ignored, however often it is changed.
 std::vector<catalog::target_change>
-platform_feed::changes_of(const adapter::watch_answer& news)
+platform_feed::parse_changes(const adapter::watch_response& answer)
 {
     std::vector<catalog::target_change> out;
     const auto is_known = [&](const target_id& id) {
@@ -45,15 +45,15 @@
                std::ranges::find(out, id, &catalog::target_change::id) !=
                    out.end();
     };
-    for (const adapter::object_event& it : news.events) {
+    for (const adapter::object_event& it : answer.events) {
         const target_id id(it.object.name);
-        const auto change = it.gone ? std::nullopt : target_of(it.object);
+        const auto change = it.deleted ? std::nullopt : parse_target(it.object);
         if (change)
             out.push_back(*change);
         else if (id.empty())
-            list_soon(targets_);
-        else if (it.gone || is_known(id))
-            out.push_back({id, std::nullopt, news.as_of});
+            schedule_listing(targets_);
+        else if (it.deleted || is_known(id))
+            out.push_back({id, std::nullopt, answer.as_of});
     }
     return out;
 }
@@ -63,30 +63,30 @@
     std::vector<catalog::target_change> entries;
     std::string after;
     std::optional<catalog::revision> as_of;
-    instant begun;
+    instant first_byte_at;
     for (bool more = true; more;) {
         const std::string before = after;
         std::string target = adapter::list_target(object_kind::targets,
                                                   freshness::newest, after);
         const auto page =
-            co_await fetch(call_name::list_targets, call_kind::listing, target,
-                           adapter::decode_page);
+            co_await fetch(platform_call::list_targets, call_kind::listing,
+                           target, adapter::decode_page);
         if (!page)
             co_return false;
         for (const adapter::stored_object& it : page->value.objects) {
-            if (const auto change = target_of(it))
+            if (const auto change = parse_target(it))
                 entries.push_back(*change);
             if (!it.name.empty())
                 after = it.name;
         }
-        // Later pages may be newer; what changed since the first is watched
-        // from there.
+        // Later pages may be newer. The next watch starts from the revision of
+        // the first page, so it delivers all changes since then.
         if (!as_of) {
             as_of = page->value.as_of;
-            begun = page->begun;
+            first_byte_at = page->first_byte_at;
         }
         more = page->value.more && !page->value.objects.empty();
-        // Nothing on the page says where to go on.
+        // No object of the page has a name to continue from.
         if (more && after == before)
             co_return false;
     }
@@ -94,10 +94,10 @@
     const bool known = tables_.targets.known();
     if (!tables_.targets.replace_all(entries, *as_of))
         co_return true;
-    confirm_targets(begun);
+    confirm_targets(first_byte_at);
     if (!known || tables_.targets.latest_change() != before) {
-        tables_.list_changed();
-        tables_.spread_news();
+        tables_.update_target_registry();
+        tables_.broadcast_update();
     }
     co_return true;
 }
@@ -105,25 +105,26 @@
 awaitable<bool> platform_feed::watch_targets()
 {
     std::string target = adapter::watch_target(
-        object_kind::targets, tables_.targets.as_of(), limits_.watch_wait);
-    const auto news = co_await fetch(call_name::watch_targets, call_kind::watch,
-                                     target, adapter::decode_watch);
-    if (!news)
+        object_kind::targets, tables_.targets.as_of(), limits_.watch_timeout);
+    const auto answer =
+        co_await fetch(platform_call::watch_targets, call_kind::watch, target,
+                       adapter::decode_watch);
+    if (!answer)
         co_return false;
-    const auto changes = changes_of(news->value);
-    if (!tables_.targets.apply(changes, news->value.as_of))
+    const auto changes = parse_changes(answer->value);
+    if (!tables_.targets.apply(changes, answer->value.as_of))
         co_return true;
-    confirm_targets(news->begun);
+    confirm_targets(answer->first_byte_at);
     if (!changes.empty()) {
-        tables_.list_changed();
-        tables_.spread_news();
+        tables_.update_target_registry();
+        tables_.broadcast_update();
     }
     co_return true;
 }
 
-mesh::news_view platform_feed::view_targets()
+mesh::watch_inputs platform_feed::view_targets()
 {
-    mesh::news_view out = view_of(targets_);
+    mesh::watch_inputs out = view_of(targets_);
     out.age = tables_.targets_freshness.age(tables_.now());
     return out;
 }
--- /dev/null
+++ b/libs/edge/response_writer.cpp
@@ -0,0 +1,120 @@
+#include "fennelladder/edge/response_writer.hpp"
+
+#include "platform/request_headers.hpp"
+
+#include <boost/asio/write.hpp>
+#include <cstdio>
+#include <nlohmann/json.hpp>
+
+namespace fennelladder::edge {
+
+namespace {
+
+/// Encodes one chunk of a chunked body.
+std::string chunk(const std::string& bytes)
+{
+    char size[24];
+    std::snprintf(size, sizeof size, "%zx\r\n", bytes.size());
+    return size + bytes + "\r\n";
+}
+
+} // namespace
+
+response_writer::response_writer(tcp::socket& socket) : socket_(socket)
+{}
+
+void response_writer::reset()
+{
+    omits_body_ = false;
+    begun_ = false;
+    finished_ = false;
+    write_error_ = {};
+}
+
+awaitable<bool> response_writer::write(std::string bytes)
+{
+    writing_ = true;
+    co_await asio::async_write(socket_, asio::buffer(bytes),
+                               into(write_error_));
+    writing_ = false;
+    co_return !write_error_;
+}
+
+std::string response_writer::encode_head(const response_head& head) const
+{
+    std::string out = "HTTP/1.1 " + std::to_string(head.status) + " ";
+    out += head.reason + "\r\n" + head.headers;
+    if (closes_connection_)
+        out += "Connection: close\r\n";
+    return out;
+}
+
+std::string response_writer::length_line(const response_head& head,
+                                         const std::string& body) const
+{
+    // Responses with these statuses have neither a body nor a Content-Length.
+    if (head.status == 204 || head.status == 304)
+        return {};
+    const std::string length =
+        omits_body_ ? head.content_length : std::to_string(body.size());
+    return length.empty() ? std::string()
+                          : "Content-Length: " + length + "\r\n";
+}
+
+awaitable<bool> response_writer::send_local(const local_response& answer)
+{
+    const std::string body = nlohmann::json{{"error", answer.message}}.dump(
+        -1, ' ', false, nlohmann::json::error_handler_t::replace);
+    response_head head;
+    head.status = answer.status;
+    const auto reason = http::obsolete_reason(http::int_to_status(head.status));
+    head.reason = std::string(reason.data(), reason.size());
+    head.headers = adapter::encode_node_response_headers(answer.request,
+                                                         answer.retry_after) +
+                   "Content-Type: application/json\r\n";
+    head.content_length = std::to_string(body.size());
+    const bool sent = co_await send_complete(head, body);
+    co_return sent;
+}
+
+awaitable<bool> response_writer::send_complete(const response_head& head,
+                                               const std::string& body)
+{
+    begun_ = true;
+    std::string out = encode_head(head) + length_line(head, body) + "\r\n";
+    // The caller would parse a body after a response to HEAD as the next
+    // response.
+    if (!omits_body_)
+        out += body;
+    const bool sent = co_await write(std::move(out));
+    finished_ = sent;
+    co_return sent;
+}
+
+awaitable<bool> response_writer::begin(const response_head& head)
+{
+    begun_ = true;
+    std::string out = encode_head(head) + "Transfer-Encoding: chunked\r\n\r\n";
+    const bool sent = co_await write(std::move(out));
+    co_return sent;
+}
+
+awaitable<bool> response_writer::send_chunk(const std::string& bytes)
+{
+    // An empty chunk terminates a chunked body.
+    if (bytes.empty())
+        co_return true;
+    std::string out = chunk(bytes);
+    const bool sent = co_await write(std::move(out));
+    co_return sent;
+}
+
+awaitable<bool> response_writer::finish()
+{
+    std::string out = "0\r\n\r\n";
+    const bool sent = co_await write(std::move(out));
+    finished_ = sent;
+    co_return sent;
+}
+
+} // namespace fennelladder::edge
--- /dev/null
+++ b/libs/edge/token_allocator_test.cpp
@@ -0,0 +1,332 @@
+// Transfers of tokens between nodes over a network that loses, duplicates and
+// reorders datagrams.
+
+#include "fennelladder/edge/token_allocator.hpp"
+#include "fennelladder/telemetry/log.hpp"
+
+#include <CppUTest/TestHarness.h>
+#include <deque>
+
+using namespace fennelladder;
+using namespace fennelladder::edge;
+
+namespace {
+
+const team_id team("t");
+
+adapter::host_settings settings_of(int i)
+{
+    adapter::host_settings out;
+    out.host = host_id("n" + std::to_string(i));
+    out.ip = "127.0.0.1";
+    // Nothing listens there: the platform is unreachable.
+    out.store_address = "127.0.0.1:1";
+    return out;
+}
+
+std::string address_of(int i)
+{
+    return "127.0.0.1:" + std::to_string(7000 + i);
+}
+
+class fleet
+{
+public:
+    fleet(std::uint64_t seed, double loss) : random_(seed), loss_(loss)
+    {
+        telemetry::set_log_sink([](auto&&...) {});
+        for (int i = 0; i < 3; ++i)
+            nodes_.push_back(std::make_unique<node>(*this, i, random_.bits()));
+    }
+
+    ~fleet() { telemetry::set_log_sink(nullptr); }
+
+    prepaid::token_balances& token_balances(int i)
+    {
+        return nodes_[i]->tables.token_balances;
+    }
+    token_allocator& allocator(int i) { return nodes_[i]->allocator; }
+    asio::io_context& io() { return io_; }
+    instant now() { return time_.now(); }
+
+    /// Each node receives a heartbeat with the balances of the others.
+    void exchange_stock()
+    {
+        for (int from = 0; from < 3; ++from) {
+            mesh::node_heartbeat hello;
+            hello.host = host_id("n" + std::to_string(from));
+            hello.life = nodes_[from]->tables.life;
+            hello.sequence = ++sequence_;
+            hello.state = mesh::node_state::ready;
+            hello.peer_address = address_of(from);
+            hello.stock = allocator(from).local_stock();
+            for (int to = 0; to < 3; ++to)
+                if (to != from) {
+                    nodes_[to]->tables.peers.on_heartbeat(hello, now());
+                    allocator(to).on_heartbeat(hello);
+                }
+        }
+    }
+
+    /// Runs for `length`. Datagrams arrive in any order, twice, or not at all.
+    void run_for(duration length)
+    {
+        const instant end = now() + length;
+        while (now() < end) {
+            io_.restart();
+            handlers_ += io_.run_for(milliseconds(1));
+            deliver();
+        }
+    }
+
+    /// Number of handlers that the event loop has run.
+    std::size_t handlers() const { return handlers_; }
+
+    tokens held()
+    {
+        tokens out;
+        for (const auto& it : nodes_)
+            for (const auto& [id, held] : it->tables.token_balances.holdings())
+                out += held.free + held.reserved + held.spent;
+        return out;
+    }
+
+private:
+    struct node
+    {
+        node(fleet& all, int i, std::uint64_t seed)
+            : tables(all.io_, all.time_, settings_of(i), seed), client(tables),
+              allocator(tables, client,
+                        [&all, i](const std::string& to,
+                                  const mesh::datagram& message) {
+                            all.send(i, to, message);
+                        })
+        {
+            catalog::configuration_parts parts;
+            parts.version = catalog::configuration_version(1);
+            catalog::team payer;
+            payer.id = team;
+            payer.prepaid = tokens(100'000);
+            parts.teams = {payer};
+            tables.apply_configuration(std::move(parts), "", "test");
+        }
+
+        node_tables tables;
+        platform_client client;
+        token_allocator allocator;
+    };
+
+    struct queued_datagram
+    {
+        int from;
+        int to;
+        std::string bytes;
+    };
+
+    void send(int from, const std::string& to, const mesh::datagram& message)
+    {
+        const int target = std::stoi(to.substr(to.rfind(':') + 1)) - 7000;
+        const int copies = random_.chance(loss_)   ? 0
+                           : random_.chance(loss_) ? 2
+                                                   : 1;
+        for (int k = 0; k < copies; ++k)
+            datagrams_.push_back({from, target, mesh::encode(message)});
+    }
+
+    void deliver()
+    {
+        while (!datagrams_.empty()) {
+            const std::size_t i = random_.below(datagrams_.size());
+            const queued_datagram it = datagrams_[i];
+            datagrams_.erase(datagrams_.begin() +
+                             static_cast<std::ptrdiff_t>(i));
+            const auto message = mesh::decode_datagram(it.bytes);
+            CHECK(message.has_value());
+            token_allocator& allocator = nodes_[it.to]->allocator;
+            if (message->request)
+                allocator.on_token_request(*message->request,
+                                           address_of(it.from));
+            if (message->grant)
+                allocator.on_token_grant(*message->grant);
+            if (message->push)
+                allocator.on_token_push(*message->push, address_of(it.from));
+            if (message->push_ack)
+                allocator.on_push_acknowledged(*message->push_ack);
+        }
+    }
+
+    asio::io_context io_{1};
+    system_clock time_;
+    random_source random_;
+    double loss_;
+    std::uint64_t sequence_ = 0;
+    std::size_t handlers_ = 0;
+    std::deque<queued_datagram> datagrams_;
+    std::vector<std::unique_ptr<node>> nodes_;
+};
+
+awaitable<void> acquire(fleet& all, int i, tokens amount, int& got,
+                        int urgency = 0)
+{
+    const instant until = all.now() + milliseconds(80);
+    const shortage lacks =
+        co_await all.allocator(i).acquire(team, amount, urgency, until);
+    if (lacks != shortage::none)
+        co_return;
+    ++got;
+    all.allocator(i).settle(team, amount, amount);
+}
+
+} // namespace
+
+TEST_GROUP(token_allocator){};
+
+TEST(token_allocator, a_node_without_tokens_gets_them_from_a_peer)
+{
+    fleet all(1, 0);
+    all.token_balances(0).credit(team, tokens(1000));
+    all.exchange_stock();
+    int got = 0;
+    spawn(all.io(), acquire(all, 1, tokens(300), got));
+    spawn(all.io(), acquire(all, 2, tokens(500), got));
+    all.run_for(milliseconds(100));
+    CHECK_EQUAL(2, got);
+    CHECK(all.token_balances(0).free_of(team) == tokens(200));
+    CHECK(all.held() == tokens(1000));
+}
+
+// The remaining tokens are spread over several nodes; together they suffice.
+TEST(token_allocator, tokens_of_several_peers_are_combined)
+{
+    fleet all(1, 0);
+    all.token_balances(0).credit(team, tokens(200));
+    all.token_balances(1).credit(team, tokens(200));
+    all.exchange_stock();
+    int got = 0;
+    spawn(all.io(), acquire(all, 2, tokens(400), got));
+    all.run_for(milliseconds(100));
+    CHECK_EQUAL(1, got);
+}
+
+TEST(token_allocator, a_request_that_no_node_can_cover_is_refused)
+{
+    fleet all(1, 0);
+    all.token_balances(0).credit(team, tokens(200));
+    all.exchange_stock();
+    int got = 0;
+    spawn(all.io(), acquire(all, 2, tokens(400), got));
+    all.run_for(milliseconds(150));
+    CHECK_EQUAL(0, got);
+    CHECK(all.held() == tokens(200));
+}
+
+// A third of all datagrams are lost and a third of the others arrive twice, in
+// any order. Tokens may be lost in transit; none may be created.
+TEST(token_allocator, a_lossy_network_creates_no_tokens)
+{
+    for (std::uint64_t seed = 1; seed <= 6; ++seed) {
+        fleet all(seed, 0.33);
+        all.token_balances(0).credit(team, tokens(5000));
+        random_source random(seed);
+        int got = 0;
+        for (int i = 0; i < 30; ++i) {
+            all.exchange_stock();
+            const tokens amount(
+                static_cast<std::int64_t>(1 + random.below(300)));
+            spawn(all.io(),
+                  acquire(all, static_cast<int>(random.below(3)), amount, got));
+            all.run_for(milliseconds(5));
+            CHECK(all.held() <= tokens(5000));
+        }
+        all.run_for(milliseconds(100));
+        CHECK(all.held() <= tokens(5000));
+        CHECK(got > 5);
+    }
+}
+
+TEST(token_allocator, a_leaving_node_pushes_its_tokens_to_others)
+{
+    fleet all(3, 0.33);
+    all.token_balances(0).credit(team, tokens(1000));
+    all.exchange_stock();
+    spawn(all.io(), all.allocator(0).push_all(milliseconds(800)));
+    all.run_for(milliseconds(900));
+    CHECK(all.token_balances(0).free_of(team) == tokens(0));
+    CHECK(all.held() == tokens(1000));
+}
+
+// The platform is unreachable. A large request of low urgency must not use the
+// tokens that urgent requests will need, neither on its own node nor on the
+// nodes that receive its token requests.
+TEST(token_allocator, the_last_tokens_are_kept_for_more_urgent_requests)
+{
+    fleet all(4, 0);
+    for (int i = 0; i < 2; ++i)
+        all.token_balances(i).credit(team, tokens(20'000));
+    all.allocator(0).start(); // Finds that the platform is unreachable.
+    all.run_for(milliseconds(900));
+    int urgent = 0;
+    for (int i = 0; i < 8; ++i) {
+        spawn(all.io(), acquire(all, 0, tokens(1'000), urgent));
+        all.exchange_stock();
+        all.run_for(milliseconds(100));
+    }
+    CHECK_EQUAL(8, urgent);
+    int others = 0;
+    for (int i = 0; i < 8; ++i)
+        spawn(all.io(), acquire(all, 0, tokens(4'000), others, 5));
+    all.run_for(milliseconds(150));
+    CHECK(others < 8);
+    CHECK(all.held() == tokens(40'000));
+    int more = 0;
+    spawn(all.io(), acquire(all, 0, tokens(1'000), more));
+    all.run_for(milliseconds(100));
+    CHECK_EQUAL(1, more);
+}
+
+// The platform is unreachable while a team has tokens left in the record. Each
+// waiting request requested them again as soon as a round ended without any,
+// and each end of a round woke all waiters, so the node was busy with nothing
+// else.
+TEST(token_allocator, requests_waiting_in_an_outage_do_not_wake_each_other)
+{
+    fleet all(5, 0);
+    all.allocator(0).start();
+    all.run_for(milliseconds(900));
+    const std::size_t before = all.handlers();
+    int got = 0;
+    for (int i = 0; i < 10; ++i)
+        spawn(all.io(), acquire(all, 0, tokens(1'000), got));
+    all.run_for(milliseconds(200));
+    CHECK_EQUAL(0, got);
+    // A few requests to the record each, and the loop's periodic work.
+    CHECK(all.handlers() - before < 2'000);
+}
+
+// All processes are killed and restarted. A node without a configuration
+// receives a token request, as one of the team's stock holders; it crashed on
+// it.
+TEST(token_allocator, a_node_without_a_configuration_grants_nothing)
+{
+    telemetry::set_log_sink([](auto&&...) {});
+    asio::io_context io{1};
+    system_clock time;
+    node_tables tables(io, time, settings_of(0), 1);
+    platform_client client(tables);
+    std::vector<mesh::datagram> sent;
+    token_allocator allocator(
+        tables, client, [&](const std::string&, const mesh::datagram& it) {
+            sent.push_back(it);
+        });
+    allocator.start();
+    allocator.on_token_request({.life = mesh::node_incarnation(7),
+                                .number = mesh::transfer_number(1),
+                                .team = team,
+                                .wanted = tokens(500),
+                                .urgency = 3},
+                               address_of(1));
+    io.run_for(milliseconds(300));
+    CHECK_EQUAL(1, sent.size());
+    CHECK(sent[0].grant && sent[0].grant->amount == tokens(0));
+    telemetry::set_log_sink(nullptr);
+}
--- a/libs/mesh/messages_test.cpp
+++ b/libs/mesh/messages_test.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-beacon sample()
+node_heartbeat sample()
 {
-    beacon out;
+    node_heartbeat out;
     out.host = host_id("austin-1");
-    out.life = node_life(77);
+    out.life = node_incarnation(77);
     out.sequence = 5;
     out.state = node_state::ready;
     out.data_center = data_center_id("austin");
@@ -31,14 +31,14 @@
     leaving.service = service_id("s");
     leaving.address = "10.0.0.9:80";
     leaving.leaving = true;
-    out.target_news = {
+    out.target_update = {
         catalog::revision(10),
         catalog::revision(12),
         {{leaving.id, leaving, catalog::revision(11)},
          {target_id("i-2"), std::nullopt, catalog::revision(12)}}};
     out.load = {{target_id("i-1"), 3, 400, catalog::target_start(42)}};
     out.stock = {{team_id("t"), tokens(1000), tokens(20)}};
-    out.poison = {{dispatch::request_mark(0xfedcba9876543210),
+    out.poison = {{dispatch::request_fingerprint(0xfedcba9876543210),
                    {{target_id("i-1"), catalog::target_start(41)},
                     {target_id("i-1"), catalog::target_start(42)},
                     {target_id("i-2")}}}};
@@ -47,7 +47,7 @@
     out.evacuations = {{data_center_id("austin"), data_center_id("houston")},
                        catalog::revision(13)};
     out.evacuations_age = milliseconds(80);
-    out.up_for = seconds(70);
+    out.uptime = seconds(70);
     out.fleets_lost = 0.25;
     out.limits = {
         {target_id("i-1"), catalog::target_start(42), 1.3, milliseconds(500)},
@@ -55,7 +55,7 @@
     out.leaving = {{target_id("i-3"), catalog::target_start(43)},
                    {target_id("i-4"), {}}};
     out.is_brief = true;
-    out.heard = {{node_life(78), milliseconds(40)}};
+    out.heard = {{node_incarnation(78), milliseconds(40)}};
     return out;
 }
 
@@ -69,8 +69,8 @@
     return {out.id, out, catalog::revision(at)};
 }
 
-/// Entries that no target can have written.
-std::vector<catalog::target_change> senseless()
+/// Changes with entries that no target can have written.
+std::vector<catalog::target_change> invalid_changes()
 {
     using catalog::target_entry;
     const std::vector<std::function<void(target_entry&)>> faults = {
@@ -80,28 +80,30 @@
         [](target_entry& it) { it.address = "10.0.0.9:0"; },
         [](target_entry& it) { it.slots = 0; },
         [](target_entry& it) { it.slots = 0xffffffff; },
-        [](target_entry& it) { it.warm_up_left = seconds(-1); },
-        [](target_entry& it) { it.warm_up_left = hours(24 * 365 * 200); }};
+        [](target_entry& it) { it.remaining_warm_up = seconds(-1); },
+        [](target_entry& it) { it.remaining_warm_up = hours(24 * 365 * 200); }};
     std::vector<catalog::target_change> out;
-    for (const auto& spoil : faults) {
+    for (const auto& corrupt : faults) {
         out.push_back(usable(("x" + std::to_string(out.size())).c_str(), 11));
-        spoil(*out.back().entry);
+        corrupt(*out.back().entry);
     }
     return out;
 }
 
-/// All rows between two usable ones are removals, and no row is missing.
-void check_between_usable(const std::vector<catalog::target_change>& got)
+/// Checks that all rows between two usable ones are removals, and none is
+/// missing.
+void check_invalid_between_usable(
+    const std::vector<catalog::target_change>& got)
 {
-    UNSIGNED_LONGS_EQUAL(senseless().size() + 2, got.size());
+    UNSIGNED_LONGS_EQUAL(invalid_changes().size() + 2, got.size());
     CHECK(got.front().entry && got.back().entry);
     for (std::size_t i = 1; i + 1 < got.size(); ++i)
         CHECK(!got[i].entry);
 }
 
-std::vector<catalog::target_change> between_usable()
+std::vector<catalog::target_change> invalid_between_usable()
 {
-    auto out = senseless();
+    auto out = invalid_changes();
     out.insert(out.begin(), usable("i-1", 11));
     out.push_back(usable("i-2", 12));
     return out;
@@ -111,26 +113,26 @@
 
 TEST_GROUP(mesh_messages){};
 
-TEST(mesh_messages, a_beacon_survives_its_spelling)
+TEST(mesh_messages, a_heartbeat_survives_encoding)
 {
     datagram message;
-    message.hello = sample();
+    message.heartbeat = sample();
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello && !got->ask);
-    const beacon& it = *got->hello;
+    CHECK(got && got->heartbeat && !got->request);
+    const node_heartbeat& it = *got->heartbeat;
     CHECK(it.host == host_id("austin-1"));
-    CHECK(it.life == node_life(77));
+    CHECK(it.life == node_incarnation(77));
     CHECK(it.state == node_state::ready);
     CHECK(it.configuration == catalog::configuration_version(9));
     CHECK(it.configuration_age == milliseconds(250));
     CHECK(!it.targets_age);
-    CHECK(it.target_news->since == catalog::revision(10));
-    CHECK(it.target_news->as_of == catalog::revision(12));
-    CHECK(it.target_news->changes.at(0).entry->leaving);
-    CHECK(!it.target_news->changes.at(1).entry);
+    CHECK(it.target_update->since == catalog::revision(10));
+    CHECK(it.target_update->as_of == catalog::revision(12));
+    CHECK(it.target_update->changes.at(0).entry->leaving);
+    CHECK(!it.target_update->changes.at(1).entry);
     CHECK(it.evacuations == sample().evacuations);
     CHECK(it.evacuations_age == milliseconds(80));
-    CHECK(it.up_for == seconds(70));
+    CHECK(it.uptime == seconds(70));
     DOUBLES_EQUAL(0.25, *it.fleets_lost, 1e-9);
     UNSIGNED_LONGS_EQUAL(2, it.limits.size());
     CHECK(it.limits.at(0).target == target_id("i-1"));
@@ -141,18 +143,19 @@
     CHECK(it.leaving == sample().leaving);
     CHECK(it.is_brief);
     CHECK(it.targets_as_of == catalog::revision(14));
-    CHECK(it.heard.at(0).life == node_life(78));
+    CHECK(it.heard.at(0).life == node_incarnation(78));
     CHECK(it.heard.at(0).ago == milliseconds(40));
     CHECK(it.load.at(0).reading == 400);
     CHECK(it.stock.at(0).spent_per_second == tokens(20));
-    CHECK(it.poison.at(0).mark == dispatch::request_mark(0xfedcba9876543210));
+    CHECK(it.poison.at(0).mark ==
+          dispatch::request_fingerprint(0xfedcba9876543210));
     CHECK(it.poison.at(0).deaths == sample().poison.at(0).deaths);
     CHECK(it.load.at(0).start == catalog::target_start(42));
     STRCMP_EQUAL("10.0.0.2:7000", it.introduced.at(0).c_str());
 }
 
-// Guards against evacuations that end since a part of their list can't be read.
-TEST(mesh_messages, evacuations_of_which_a_part_cannot_be_are_unsaid)
+// Guards against evacuations that end because a part of their list is invalid.
+TEST(mesh_messages, evacuations_with_an_invalid_part_are_dropped)
 {
     const std::vector<std::function<void(catalog::evacuation_state&)>> faults =
         {[](auto& it) { it.as_of = catalog::revision(); },
@@ -160,59 +163,60 @@
          [](auto& it) { it.data_centers.emplace_back(""); },
          [](auto& it) { it.data_centers.emplace_back(std::string(300, 'x')); },
          [](auto& it) {
-             it.data_centers.resize(catalog::most_evacuations + 1,
+             it.data_centers.resize(catalog::max_evacuations + 1,
                                     data_center_id("d"));
          }};
-    for (const auto& spoil : faults) {
+    for (const auto& corrupt : faults) {
         datagram message;
-        message.hello = sample();
-        spoil(*message.hello->evacuations);
+        message.heartbeat = sample();
+        corrupt(*message.heartbeat->evacuations);
         const auto got = decode_datagram(encode(message));
-        CHECK(got && got->hello);
-        CHECK(!got->hello->evacuations);
-        CHECK(got->left_out > 0);
+        CHECK(got && got->heartbeat);
+        CHECK(!got->heartbeat->evacuations);
+        CHECK(got->invalid_parts > 0);
     }
 }
 
-// Story: a node of an earlier release, or a damaged datagram, tells a start
-// below 0. Taken as a number it would be later than any, and no process of that
-// target would be believed again.
-TEST(mesh_messages, a_start_below_0_is_none)
+// Guards against a negative start, from a node of an earlier release or a
+// damaged datagram. Converted to unsigned it would be later than any other, and
+// no later process of that target would be accepted.
+TEST(mesh_messages, a_negative_start_is_unknown)
 {
     datagram message;
-    message.hello = sample();
+    message.heartbeat = sample();
     const catalog::target_start below(~std::uint64_t(0));
-    message.hello->load.at(0).start = below;
-    message.hello->target_news->changes.at(0).entry->start = below;
-    message.hello->poison.at(0).deaths.at(0).start = below;
+    message.heartbeat->load.at(0).start = below;
+    message.heartbeat->target_update->changes.at(0).entry->start = below;
+    message.heartbeat->poison.at(0).deaths.at(0).start = below;
     const auto got = decode_datagram(encode(message));
-    CHECK(!is_said(got->hello->load.at(0).start));
-    CHECK(!is_said(got->hello->target_news->changes.at(0).entry->start));
-    CHECK(!is_said(got->hello->poison.at(0).deaths.at(0).start));
+    CHECK(!is_known(got->heartbeat->load.at(0).start));
+    CHECK(!is_known(got->heartbeat->target_update->changes.at(0).entry->start));
+    CHECK(!is_known(got->heartbeat->poison.at(0).deaths.at(0).start));
 }
 
-TEST(mesh_messages, transfers_survive_their_spelling)
+TEST(mesh_messages, transfers_survive_encoding)
 {
     datagram message;
-    message.ask = {node_life(1), transfer_number(2), team_id("t"), tokens(300)};
-    message.give = {node_life(1), transfer_number(2), team_id("t"),
-                    tokens(250)};
+    message.request = {node_incarnation(1), transfer_number(2), team_id("t"),
+                       tokens(300)};
+    message.grant = {node_incarnation(1), transfer_number(2), team_id("t"),
+                     tokens(250)};
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->ask && got->give);
-    CHECK(got->ask->wanted == tokens(300));
-    CHECK(got->give->amount == tokens(250));
+    CHECK(got && got->request && got->grant);
+    CHECK(got->request->wanted == tokens(300));
+    CHECK(got->grant->amount == tokens(250));
 }
 
-// A negative amount would make tokens at one of the two ends.
-TEST(mesh_messages, a_negative_amount_is_no_message)
+// A negative amount would create tokens at one of the two nodes.
+TEST(mesh_messages, a_negative_amount_is_rejected)
 {
     datagram message;
-    message.give = {node_life(1), transfer_number(2), team_id("t"),
-                    tokens(-250)};
+    message.grant = {node_incarnation(1), transfer_number(2), team_id("t"),
+                     tokens(-250)};
     CHECK(!decode_datagram(encode(message)));
 }
 
-TEST(mesh_messages, a_list_of_targets_survives_its_spelling)
+TEST(mesh_messages, a_list_of_targets_survives_encoding)
 {
     sync_reply reply;
     reply.configuration = "{}";
@@ -232,11 +236,11 @@
     CHECK(got->targets.at(1).at == catalog::revision(20));
 }
 
-// Bytes from anywhere are a message or an error, never a crash.
-TEST(mesh_messages, damaged_bytes_end_nothing)
+// Arbitrary bytes decode to a message or an error, and never crash.
+TEST(mesh_messages, damaged_bytes_do_not_crash)
 {
     datagram message;
-    message.hello = sample();
+    message.heartbeat = sample();
     const std::string good = encode(message);
     random_source random(3);
     for (int i = 0; i < 3000; ++i) {
@@ -245,18 +249,18 @@
             bytes[random.below(bytes.size())] =
                 static_cast<char>(random.below(256));
         (void)decode_datagram(bytes);
-        (void)decode_sync_ask(bytes);
+        (void)decode_sync_request(bytes);
         (void)decode_sync_reply(bytes);
     }
 }
 
-TEST(mesh_messages, a_question_survives_its_spelling)
+TEST(mesh_messages, a_sync_request_survives_encoding)
 {
     for (const sync_part part :
          {sync_part::both, sync_part::targets, sync_part::configuration}) {
-        const auto got = decode_sync_ask(
-            encode(sync_ask{catalog::configuration_version(7),
-                            catalog::revision(90), part, "10.0.0.1:7000"}));
+        const auto got = decode_sync_request(
+            encode(sync_request{catalog::configuration_version(7),
+                                catalog::revision(90), part, "10.0.0.1:7000"}));
         CHECK(got.has_value());
         CHECK(got->configuration == catalog::configuration_version(7));
         CHECK(got->targets_as_of == catalog::revision(90));
@@ -265,7 +269,7 @@
     }
 }
 
-TEST(mesh_messages, a_packed_configuration_survives_its_spelling)
+TEST(mesh_messages, a_packed_configuration_survives_encoding)
 {
     sync_reply reply;
     reply.packed_configuration = std::string("\0\xff packed", 9);
@@ -276,7 +280,7 @@
     CHECK(got->configuration.empty());
 }
 
-TEST(mesh_messages, a_busy_reply_survives_its_spelling)
+TEST(mesh_messages, a_busy_reply_survives_encoding)
 {
     sync_reply reply;
     reply.busy = true;
@@ -288,159 +292,163 @@
     CHECK(got->served_configuration == reply.served_configuration);
 }
 
-// A question cut short is no question for less.
-TEST(mesh_messages, cut_short_is_no_message)
+// A truncated message must not be read as a shorter one.
+TEST(mesh_messages, truncated_bytes_are_rejected)
 {
     const std::string ask = encode(
-        sync_ask{catalog::configuration_version(7), catalog::revision(90),
-                 sync_part::targets, "10.0.0.1:7000"});
+        sync_request{catalog::configuration_version(7), catalog::revision(90),
+                     sync_part::targets, "10.0.0.1:7000"});
     sync_reply busy;
     busy.busy = true;
     busy.served = {"10.0.0.2:7000"};
     busy.packed_configuration = "packed";
     const std::string reply = encode(busy);
     for (std::size_t n = 0; n < ask.size(); ++n)
-        CHECK(!decode_sync_ask(ask.substr(0, n)));
+        CHECK(!decode_sync_request(ask.substr(0, n)));
     for (std::size_t n = 0; n < reply.size(); ++n)
         CHECK(!decode_sync_reply(reply.substr(0, n)));
 }
 
-// Story: a node of another release believes an entry that this one wouldn't,
-// and tells it. The row says that the target isn't as it was known; passed
-// over, the older entry would stay in force here.
-TEST(mesh_messages, a_target_that_cannot_be_is_told_as_gone)
+// A node of another release may accept and pass on an entry that this one
+// rejects. The row shows that the target has changed; if it were dropped, the
+// older entry would stay in force here.
+TEST(mesh_messages, an_invalid_target_is_reported_as_removed)
 {
     datagram message;
-    message.hello = sample();
-    message.hello->target_news->changes = between_usable();
+    message.heartbeat = sample();
+    message.heartbeat->target_update->changes = invalid_between_usable();
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello && got->hello->target_news);
-    check_between_usable(got->hello->target_news->changes);
-    UNSIGNED_LONGS_EQUAL(senseless().size(), got->left_out);
+    CHECK(got && got->heartbeat && got->heartbeat->target_update);
+    check_invalid_between_usable(got->heartbeat->target_update->changes);
+    UNSIGNED_LONGS_EQUAL(invalid_changes().size(), got->invalid_parts);
     sync_reply reply;
     reply.targets_as_of = catalog::revision(20);
-    reply.targets = between_usable();
+    reply.targets = invalid_between_usable();
     const auto listed = decode_sync_reply(encode(reply));
     CHECK(listed.has_value());
-    check_between_usable(listed->targets);
-    UNSIGNED_LONGS_EQUAL(senseless().size(), listed->left_out);
+    check_invalid_between_usable(listed->targets);
+    UNSIGNED_LONGS_EQUAL(invalid_changes().size(), listed->invalid_parts);
 }
 
-TEST(mesh_messages, a_row_of_nothing_is_left_out)
+TEST(mesh_messages, an_invalid_row_is_dropped)
 {
     datagram message;
-    message.hello = sample();
-    message.hello->target_news->changes.push_back(usable("", 11));
-    message.hello->load = {{target_id(), 1, 1},
-                           {target_id("a"), 0x80000000, 1},
-                           {target_id("b"), 1, 0x80000000},
-                           {target_id("c"), 1, 1}};
-    message.hello->stock = {{team_id(), tokens(1), tokens(1)},
-                            {team_id("a"), tokens(-1), tokens(1)},
-                            {team_id("b"), tokens(1), tokens(-1)},
-                            {team_id("c"), tokens(INT64_MAX), tokens(1)},
-                            {team_id("d"), tokens(1), tokens(1)}};
-    message.hello->poison.push_back({dispatch::request_mark(1), {}});
-    message.hello->poison.push_back(
-        {dispatch::request_mark(2), {{target_id(), {}}}});
-    message.hello->introduced = {"nowhere", "10.0.0.2:7000", ""};
+    message.heartbeat = sample();
+    message.heartbeat->target_update->changes.push_back(usable("", 11));
+    message.heartbeat->load = {{target_id(), 1, 1},
+                               {target_id("a"), 0x80000000, 1},
+                               {target_id("b"), 1, 0x80000000},
+                               {target_id("c"), 1, 1}};
+    message.heartbeat->stock = {{team_id(), tokens(1), tokens(1)},
+                                {team_id("a"), tokens(-1), tokens(1)},
+                                {team_id("b"), tokens(1), tokens(-1)},
+                                {team_id("c"), tokens(INT64_MAX), tokens(1)},
+                                {team_id("d"), tokens(1), tokens(1)}};
+    message.heartbeat->poison.push_back({dispatch::request_fingerprint(1), {}});
+    message.heartbeat->poison.push_back(
+        {dispatch::request_fingerprint(2), {{target_id(), {}}}});
+    message.heartbeat->introduced = {"nowhere", "10.0.0.2:7000", ""};
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello);
-    const beacon& it = *got->hello;
-    UNSIGNED_LONGS_EQUAL(2, it.target_news->changes.size());
+    CHECK(got && got->heartbeat);
+    const node_heartbeat& it = *got->heartbeat;
+    UNSIGNED_LONGS_EQUAL(2, it.target_update->changes.size());
     UNSIGNED_LONGS_EQUAL(1, it.load.size());
     CHECK(it.load.at(0).target == target_id("c"));
     UNSIGNED_LONGS_EQUAL(1, it.stock.size());
     CHECK(it.stock.at(0).team == team_id("d"));
     UNSIGNED_LONGS_EQUAL(1, it.poison.size());
     UNSIGNED_LONGS_EQUAL(1, it.introduced.size());
-    UNSIGNED_LONGS_EQUAL(12, got->left_out);
+    UNSIGNED_LONGS_EQUAL(12, got->invalid_parts);
 }
 
-// Story: one beacon claims a configuration of version -1. Read as the largest
-// number there is, every node would ask that peer for it from then on.
-TEST(mesh_messages, a_beacon_that_claims_what_cannot_be_is_no_message)
+// Guards against a heartbeat with configuration version -1. Converted to the
+// largest unsigned number, it would make every node request it from that peer
+// from then on.
+TEST(mesh_messages, a_heartbeat_with_invalid_fields_is_rejected)
 {
-    const std::vector<std::function<void(beacon&)>> faults = {
-        [](beacon& it) { it.host = host_id(); },
-        [](beacon& it) { it.peer_address = "nowhere"; },
-        [](beacon& it) { it.sequence = UINT64_MAX; },
-        [](beacon& it) {
+    const std::vector<std::function<void(node_heartbeat&)>> faults = {
+        [](node_heartbeat& it) { it.host = host_id(); },
+        [](node_heartbeat& it) { it.peer_address = "nowhere"; },
+        [](node_heartbeat& it) { it.sequence = UINT64_MAX; },
+        [](node_heartbeat& it) {
             it.configuration = catalog::configuration_version(UINT64_MAX);
         },
-        [](beacon& it) { it.targets_changed = catalog::revision(UINT64_MAX); }};
-    for (const auto& spoil : faults) {
+        [](node_heartbeat& it) {
+            it.targets_changed = catalog::revision(UINT64_MAX);
+        }};
+    for (const auto& corrupt : faults) {
         datagram message;
-        message.hello = sample();
-        spoil(*message.hello);
+        message.heartbeat = sample();
+        corrupt(*message.heartbeat);
         CHECK(!decode_datagram(encode(message)));
     }
 }
 
-// What isn't a number has no place in an order of nodes.
-TEST(mesh_messages, rates_are_numbers_from_zero_on)
+// Nodes can't be ordered by NaN.
+TEST(mesh_messages, rates_are_finite_and_not_negative)
 {
     for (const double rate : {std::nan(""), HUGE_VAL, -HUGE_VAL, -1.0, 1e300}) {
         datagram message;
-        message.hello = sample();
-        message.hello->capacity = rate;
-        message.hello->requests_per_second = rate;
+        message.heartbeat = sample();
+        message.heartbeat->capacity = rate;
+        message.heartbeat->requests_per_second = rate;
         const auto got = decode_datagram(encode(message));
-        CHECK(got && got->hello);
+        CHECK(got && got->heartbeat);
         for (const double it :
-             {got->hello->capacity, got->hello->requests_per_second})
-            CHECK(it >= 0 && it <= most_requests);
+             {got->heartbeat->capacity, got->heartbeat->requests_per_second})
+            CHECK(it >= 0 && it <= max_request_rate);
     }
 }
 
-// A caller would be sent there.
-TEST(mesh_messages, a_callers_address_that_is_none_is_left_out)
+// Callers would be redirected to it.
+TEST(mesh_messages, an_invalid_caller_address_is_dropped)
 {
     datagram message;
-    message.hello = sample();
-    message.hello->caller_address = "front:80";
+    message.heartbeat = sample();
+    message.heartbeat->caller_address = "front:80";
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello->caller_address.empty());
+    CHECK(got && got->heartbeat->caller_address.empty());
 }
 
-// Story: an empty row takes a byte on the wire and hundreds in memory. Four
-// megabytes of them, as many as an answer may have, take hundreds.
-TEST(mesh_messages, a_list_longer_than_any_fleet_is_no_message)
+// An empty row takes one byte on the wire and hundreds in memory. Four
+// megabytes of them, the limit of an answer, would take hundreds of megabytes.
+TEST(mesh_messages, an_oversized_list_is_rejected)
 {
     sync_reply reply;
     reply.targets_as_of = catalog::revision(20);
-    reply.targets.resize(most_elements, usable("i-1", 20));
+    reply.targets.resize(max_list_elements, usable("i-1", 20));
     CHECK(decode_sync_reply(encode(reply)).has_value());
     reply.targets.push_back(usable("i-2", 20));
     CHECK(!decode_sync_reply(encode(reply)));
 }
 
-// Story: one datagram names thousands of deaths, hosts and addresses. Each is
-// looked up among all that are known, and callers wait meanwhile.
-TEST(mesh_messages, a_beacon_has_no_more_rows_than_a_fleet_needs)
+// Guards against a datagram with thousands of deaths, hosts and addresses. Each
+// is looked up among all known ones, which would delay callers.
+TEST(mesh_messages, lists_of_a_heartbeat_are_truncated)
 {
     datagram message;
-    message.hello = sample();
-    beacon& it = *message.hello;
-    constexpr std::size_t many = most_rows + 10;
+    message.heartbeat = sample();
+    node_heartbeat& it = *message.heartbeat;
+    constexpr std::size_t many = max_heartbeat_rows + 10;
     it.load.assign(many, {target_id("i-1"), 1, 1});
     it.stock.assign(many, {team_id("t"), tokens(1), tokens(1)});
     it.poison.assign(
         many,
-        {dispatch::request_mark(1),
+        {dispatch::request_fingerprint(1),
          std::vector(many, catalog::target_process{target_id("i-1"), {}})});
     it.introduced.assign(many, "10.0.0.2:7000");
-    it.heard.assign(many, {node_life(78), milliseconds(40)});
-    // A part of these wouldn't be news that are complete.
-    it.target_news->changes.assign(many, usable("i-1", 11));
+    it.heard.assign(many, {node_incarnation(78), milliseconds(40)});
+    // A truncated update wouldn't be complete, so it is dropped.
+    it.target_update->changes.assign(many, usable("i-1", 11));
     const auto got = decode_datagram(encode(message));
-    CHECK(got && got->hello);
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->load.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->stock.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->poison.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->poison.at(0).deaths.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->introduced.size());
-    UNSIGNED_LONGS_EQUAL(most_rows, got->hello->heard.size());
-    CHECK(!got->hello->target_news);
-    CHECK(got->left_out > 0);
+    CHECK(got && got->heartbeat);
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->load.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->stock.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->poison.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows,
+                         got->heartbeat->poison.at(0).deaths.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->introduced.size());
+    UNSIGNED_LONGS_EQUAL(max_heartbeat_rows, got->heartbeat->heard.size());
+    CHECK(!got->heartbeat->target_update);
+    CHECK(got->invalid_parts > 0);
 }
--- a/libs/telemetry/service_level.cpp
+++ b/libs/telemetry/service_level.cpp
@@ -1,6 +1,7 @@
-// A ring's cell remembers which cell of time it holds, so time that passes
-// without requests costs nothing: an outdated cell is cleared when it is next
-// written and passed over when it is read. Adding is O(objectives of a kind).
+// Each ring cell stores the number of the time slot that it counts, so idle
+// time costs nothing: an outdated cell is cleared when it is next written and
+// skipped when it is read. Adding a request is O(objectives of its caller
+// kind).
 
 #include "fennelladder/telemetry/service_level.hpp"
 
@@ -13,8 +14,8 @@
 
 namespace {
 
-constexpr std::size_t cells_of_all = 12;
-constexpr std::size_t cells_of_team = 6;
+constexpr std::size_t objective_cells = 12;
+constexpr std::size_t team_cells = 6;
 
 constexpr std::array<std::string_view, cause_count> cause_names = {
     "good", "slow", "missing", "doubled", "refused"};
@@ -69,8 +70,8 @@
     return objective.window;
 }
 
-burn_cause judge(const service_level_objective& objective,
-                 const request_sample& sample)
+burn_cause classify(const service_level_objective& objective,
+                    const request_sample& sample)
 {
     if (sample.doubled)
         return burn_cause::doubled;
@@ -154,49 +155,51 @@
 service_level_meter::make_series(const service_level_objective& objective,
                                  bool team) const
 {
-    series made;
+    series created;
     if (team) {
         for (const burn_window it : team_windows)
-            made.windows.emplace(
-                it, window_ring(length_of(it, objective), cells_of_team));
-        return made;
+            created.windows.emplace(
+                it, window_ring(length_of(it, objective), team_cells));
+        return created;
     }
     for (std::size_t n = 0; n < window_count; ++n) {
         const auto it = burn_window(n);
-        made.windows.emplace(
-            it, window_ring(length_of(it, objective), cells_of_all));
+        created.windows.emplace(
+            it, window_ring(length_of(it, objective), objective_cells));
     }
-    return made;
+    return created;
 }
 
 void service_level_meter::set_objectives(
     std::vector<service_level_objective> objectives)
 {
     const std::lock_guard lock(mutex_);
-    std::vector<measured> next;
+    std::vector<tracked_objective> next;
     for (service_level_objective& one : objectives) {
-        const auto same = std::ranges::find_if(
-            measured_, [&](const measured& it) { return it.objective == one; });
-        if (same != measured_.end()) {
+        const auto same =
+            std::ranges::find_if(tracked_, [&](const tracked_objective& it) {
+                return it.objective == one;
+            });
+        if (same != tracked_.end()) {
             next.push_back(std::move(*same));
             continue;
         }
         series all = make_series(one, false);
         next.push_back({std::move(one), std::move(all), {}});
     }
-    measured_ = std::move(next);
+    tracked_ = std::move(next);
 }
 
 service_level_meter::series&
-service_level_meter::team_series(measured& it, const team_id& team)
+service_level_meter::team_series(tracked_objective& it, const team_id& team)
 {
     const auto known = it.teams.find(team.str());
     if (known != it.teams.end())
         return known->second;
     std::size_t count = 0;
-    for (const measured& each : measured_)
+    for (const tracked_objective& each : tracked_)
         count += each.teams.size();
-    const std::string name = count < options_.most_team_series
+    const std::string name = count < options_.max_team_series
                                  ? team.str()
                                  : std::string(other_teams);
     return it.teams.try_emplace(name, make_series(it.objective, true))
@@ -206,10 +209,10 @@
 void service_level_meter::add(const request_sample& sample, instant now)
 {
     const std::lock_guard lock(mutex_);
-    for (measured& it : measured_) {
+    for (tracked_objective& it : tracked_) {
         if (it.objective.kind != sample.kind)
             continue;
-        const burn_cause cause = judge(it.objective, sample);
+        const burn_cause cause = classify(it.objective, sample);
         for (auto& [window, ring] : it.all.windows)
             ring.add(cause, now);
         for (auto& [window, ring] : team_series(it, sample.team).windows)
@@ -217,10 +220,10 @@
     }
 }
 
-// Those with most bad requests in the objective's window, and of these only
-// teams that have any.
-void service_level_meter::show_teams(const measured& it, instant now,
-                                     burn_snapshot& out) const
+// Adds the teams with the most bad requests in the objective's window; teams
+// without bad requests are left out.
+void service_level_meter::add_worst_teams(const tracked_objective& it,
+                                          instant now, burn_snapshot& out) const
 {
     std::vector<std::pair<std::uint64_t, const std::string*>> worst;
     for (const auto& [team, one] : it.teams) {
@@ -228,13 +231,14 @@
         if (bad > 0)
             worst.emplace_back(bad, &team);
     }
-    const std::size_t shown = std::min(worst.size(), options_.teams_shown);
-    const auto larger = [](const auto& a, const auto& b) {
+    const std::size_t limit =
+        std::min(worst.size(), options_.max_snapshot_teams);
+    const auto more_bad_requests = [](const auto& a, const auto& b) {
         return a.first != b.first ? a.first > b.first : *a.second < *b.second;
     };
-    std::partial_sort(worst.begin(), worst.begin() + std::ptrdiff_t(shown),
-                      worst.end(), larger);
-    worst.resize(shown);
+    std::partial_sort(worst.begin(), worst.begin() + std::ptrdiff_t(limit),
+                      worst.end(), more_bad_requests);
+    worst.resize(limit);
     for (const auto& [bad, team] : worst) {
         for (const auto& [window, ring] : it.teams.at(*team).windows)
             out.counts[{it.objective.name, *team, window}] = ring.sum(now);
@@ -245,11 +249,11 @@
 {
     const std::lock_guard lock(mutex_);
     burn_snapshot out;
-    for (const measured& it : measured_) {
+    for (const tracked_objective& it : tracked_) {
         out.objectives.emplace(it.objective.name, it.objective);
         for (const auto& [window, ring] : it.all.windows)
             out.counts[{it.objective.name, {}, window}] = ring.sum(now);
-        show_teams(it, now, out);
+        add_worst_teams(it, now, out);
     }
     return out;
 }
