--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -133,7 +133,7 @@
     random_source random;
     adapter::host_settings settings;
     const tuning_options options;
-    mesh::node_incarnation life; ///< The incarnation of this process.
+    mesh::node_incarnation incarnation; ///< The incarnation of this process.
 
     /// Null if none is known yet.
     std::shared_ptr<const catalog::configuration> config;
--- a/include/fennelladder/mesh/messages.hpp
+++ b/include/fennelladder/mesh/messages.hpp
@@ -60,7 +60,7 @@
 /// A node from which the sender received a heartbeat `ago` before sending.
 struct recent_peer
 {
-    node_incarnation life;
+    node_incarnation incarnation;
     duration ago;
 };
 
@@ -68,7 +68,7 @@
 struct node_heartbeat
 {
     host_id host;
-    node_incarnation life;
+    node_incarnation incarnation;
     /// Increases with each heartbeat of an incarnation.
     std::uint64_t sequence = 0;
     /// By the sender's clock; unset from nodes of earlier releases.
@@ -116,7 +116,7 @@
 /// the same grant, whichever message was lost.
 struct token_request
 {
-    node_incarnation life;
+    node_incarnation incarnation;
     transfer_number number;
     team_id team;
     tokens wanted; ///< The grant may be smaller.
@@ -133,7 +133,7 @@
 /// amount from its balance.
 struct token_grant
 {
-    node_incarnation life; ///< Of the requesting node.
+    node_incarnation incarnation; ///< Of the requesting node.
     transfer_number number;
     team_id team;
     tokens amount;
@@ -146,7 +146,7 @@
 /// receiver credits each number once.
 struct token_push
 {
-    node_incarnation life;
+    node_incarnation incarnation;
     transfer_number number;
     team_id team;
     tokens amount;
@@ -154,7 +154,7 @@
 
 struct token_push_ack
 {
-    node_incarnation life; ///< Of the sender of the push.
+    node_incarnation incarnation; ///< Of the sender of the push.
     transfer_number number;
 };
 
--- a/libs/edge/allotment_writer.cpp
+++ b/libs/edge/allotment_writer.cpp
@@ -200,7 +200,7 @@
     assert(record_revision_ != catalog::revision());
     for (int i = 0; i < max_write_attempts; ++i) {
         in_doubt_write pending;
-        pending.mark = std::to_string(tables_.life.value()) + "." +
+        pending.mark = std::to_string(tables_.incarnation.value()) + "." +
                        std::to_string(++writes_);
         pending.draft =
             prepaid::draft_allotment(*record_, prepaid_totals(), requested,
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -111,7 +111,7 @@
     log_event(event::node_started,
               {{"host", tables_.settings.host.str()},
                {"listen", tables_.settings.listen.callers},
-               {"life", std::to_string(tables_.life.value())}});
+               {"life", std::to_string(tables_.incarnation.value())}});
     return {};
 }
 
--- a/libs/edge/mesh_node.cpp
+++ b/libs/edge/mesh_node.cpp
@@ -150,7 +150,7 @@
 {
     mesh::node_heartbeat out;
     out.host = tables_.settings.host;
-    out.life = tables_.life;
+    out.incarnation = tables_.incarnation;
     out.sequence = ++sequence_;
     out.sent = tables_.now();
     out.state = tables_.state();
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -78,7 +78,7 @@
                          adapter::host_settings given, std::uint64_t seed,
                          tuning_options tuning)
     : io(context), time(clock_used), random(seed), settings(std::move(given)),
-      options(std::move(tuning)), life(random.bits() >> 1),
+      options(std::move(tuning)), incarnation(random.bits() >> 1),
       lateness(settings.update_bound()),
       registry(registry_options(settings, options.registry)),
       retries(retry_options(settings, options.retries)), poison({}),
--- a/libs/edge/token_allocator.cpp
+++ b/libs/edge/token_allocator.cpp
@@ -283,7 +283,7 @@
                                                     mesh::token_request what)
 {
     last_number_ = last_number_.next();
-    what.life = tables_.life;
+    what.incarnation = tables_.incarnation;
     what.number = last_number_;
     outstanding_[last_number_] = {what.team, peer, tables_.now(), what.patient};
     peers_.deduct(peer, what.team, what.wanted);
@@ -296,7 +296,7 @@
 void token_allocator::on_token_request(const mesh::token_request& request,
                                        const std::string& from)
 {
-    const transfer_key key{request.life, request.number};
+    const transfer_key key{request.incarnation, request.number};
     const auto known = grants_sent_.find(key);
     if (known != grants_sent_.end()) {
         mesh::datagram again;
@@ -306,7 +306,7 @@
     }
     const bool waits =
         std::ranges::any_of(pending_, [&](const pending_request& it) {
-            return it.request.life == request.life &&
+            return it.request.incarnation == request.incarnation &&
                    it.request.number == request.number;
         });
     if (waits)
@@ -367,10 +367,10 @@
                                  const std::string& from, tokens amount)
 {
     mesh::datagram message;
-    message.grant = {request.life, request.number, request.team, amount,
+    message.grant = {request.incarnation, request.number, request.team, amount,
                      refiller_.allotted_of(request.team)};
-    grants_sent_[{request.life, request.number}] = {*message.grant,
-                                                    tables_.now()};
+    grants_sent_[{request.incarnation, request.number}] = {*message.grant,
+                                                           tables_.now()};
     send_(from, message);
     if (amount > tokens(0))
         log_event(
@@ -386,8 +386,8 @@
 void token_allocator::on_token_grant(const mesh::token_grant& grant)
 {
     const auto it = outstanding_.find(grant.number);
-    const bool ours = grant.life == tables_.life && it != outstanding_.end() &&
-                      it->second.team == grant.team;
+    const bool ours = grant.incarnation == tables_.incarnation &&
+                      it != outstanding_.end() && it->second.team == grant.team;
     if (!ours)
         return;
     last_grant_from_[it->second.peer] = tables_.now();
@@ -401,7 +401,7 @@
 void token_allocator::on_token_push(const mesh::token_push& push,
                                     const std::string& from)
 {
-    const auto key = std::make_pair(push.life, push.number);
+    const auto key = std::make_pair(push.incarnation, push.number);
     if (pushes_received_.emplace(key, tables_.now()).second) {
         tables_.token_balances.credit(push.team, push.amount);
         log_event(event::tokens_moved,
@@ -411,13 +411,13 @@
         wake_waiters();
     }
     mesh::datagram message;
-    message.push_ack = {push.life, push.number};
+    message.push_ack = {push.incarnation, push.number};
     send_(from, message);
 }
 
 void token_allocator::on_push_acknowledged(const mesh::token_push_ack& taken)
 {
-    if (taken.life == tables_.life)
+    if (taken.incarnation == tables_.incarnation)
         pushes_.erase(taken.number);
 }
 
@@ -479,7 +479,7 @@
         if (taker.empty())
             continue;
         last_number_ = last_number_.next();
-        const mesh::token_push push{tables_.life, last_number_, it.team,
+        const mesh::token_push push{tables_.incarnation, last_number_, it.team,
                                     tables_.token_balances.debit_all(it.team)};
         pushes_[last_number_] = push;
         spawn(tables_.io, repeat_push(push, taker, until));
--- a/libs/edge/token_allocator_test.cpp
+++ b/libs/edge/token_allocator_test.cpp
@@ -55,7 +55,7 @@
         for (int from = 0; from < 3; ++from) {
             mesh::node_heartbeat hello;
             hello.host = host_id("n" + std::to_string(from));
-            hello.life = nodes_[from]->tables.life;
+            hello.incarnation = nodes_[from]->tables.incarnation;
             hello.sequence = ++sequence_;
             hello.state = mesh::node_state::ready;
             hello.peer_address = address_of(from);
@@ -319,7 +319,7 @@
             sent.push_back(it);
         });
     allocator.start();
-    allocator.on_token_request({.life = mesh::node_incarnation(7),
+    allocator.on_token_request({.incarnation = mesh::node_incarnation(7),
                                 .number = mesh::transfer_number(1),
                                 .team = team,
                                 .wanted = tokens(500),
--- a/libs/edge/update_exchange_test.cpp
+++ b/libs/edge/update_exchange_test.cpp
@@ -224,7 +224,7 @@
     {
         mesh::node_heartbeat out;
         out.host = host_id("host of " + address);
-        out.life = mesh::node_incarnation(1);
+        out.incarnation = mesh::node_incarnation(1);
         out.sequence = ++sequence_;
         out.state = mesh::node_state::ready;
         out.peer_address = address;
--- a/libs/mesh/discovery_test.cpp
+++ b/libs/mesh/discovery_test.cpp
@@ -61,7 +61,7 @@
     {
         node_heartbeat out;
         out.host = host_id(name(i));
-        out.life = node_incarnation(static_cast<std::uint64_t>(i) + 1);
+        out.incarnation = node_incarnation(static_cast<std::uint64_t>(i) + 1);
         out.sequence = ++sequence_;
         out.state = node_state::ready;
         out.peer_address = name(i);
--- a/libs/mesh/messages.cpp
+++ b/libs/mesh/messages.cpp
@@ -248,7 +248,7 @@
 {
     wire::Beacon out;
     out.host = from.host.str();
-    out.life = to_signed(from.life.value());
+    out.life = to_signed(from.incarnation.value());
     out.sequence = to_signed(from.sequence);
     out.state = static_cast<std::int8_t>(from.state);
     out.data_center = from.data_center.str();
@@ -308,7 +308,7 @@
     out.__isset.introduced = !out.introduced.empty();
     for (const recent_peer& it : from.heard) {
         wire::HeardNode heard;
-        heard.life = to_signed(it.life.value());
+        heard.life = to_signed(it.incarnation.value());
         heard.ago_ms = age_to_wire(it.ago);
         out.heard.push_back(heard);
     }
@@ -461,7 +461,7 @@
 {
     node_heartbeat out;
     out.host = host_id(from.host);
-    out.life = id_of<node_incarnation>(from.life);
+    out.incarnation = id_of<node_incarnation>(from.life);
     out.sequence = static_cast<std::uint64_t>(from.sequence);
     // An unknown state of a later release counts as one that accepts no
     // callers.
@@ -514,7 +514,7 @@
 Wire transfer_to_wire(const Message& from)
 {
     Wire out;
-    out.life = to_signed(from.life.value());
+    out.life = to_signed(from.incarnation.value());
     out.number = to_signed(from.number.value());
     if constexpr (requires { from.team; })
         out.team = from.team.str();
@@ -536,7 +536,7 @@
 Message transfer_from_wire(const Wire& from)
 {
     Message out;
-    out.life = id_of<node_incarnation>(from.life);
+    out.incarnation = id_of<node_incarnation>(from.life);
     out.number = id_of<transfer_number>(from.number);
     if constexpr (requires { out.team; })
         out.team = team_id(from.team);
--- a/libs/mesh/messages_test.cpp
+++ b/libs/mesh/messages_test.cpp
@@ -14,7 +14,7 @@
 {
     node_heartbeat out;
     out.host = host_id("austin-1");
-    out.life = node_incarnation(77);
+    out.incarnation = node_incarnation(77);
     out.sequence = 5;
     out.state = node_state::ready;
     out.data_center = data_center_id("austin");
@@ -121,7 +121,7 @@
     CHECK(got && got->heartbeat && !got->request);
     const node_heartbeat& it = *got->heartbeat;
     CHECK(it.host == host_id("austin-1"));
-    CHECK(it.life == node_incarnation(77));
+    CHECK(it.incarnation == node_incarnation(77));
     CHECK(it.state == node_state::ready);
     CHECK(it.configuration == catalog::configuration_version(9));
     CHECK(it.configuration_age == milliseconds(250));
@@ -143,7 +143,7 @@
     CHECK(it.leaving == sample().leaving);
     CHECK(it.is_brief);
     CHECK(it.targets_as_of == catalog::revision(14));
-    CHECK(it.heard.at(0).life == node_incarnation(78));
+    CHECK(it.heard.at(0).incarnation == node_incarnation(78));
     CHECK(it.heard.at(0).ago == milliseconds(40));
     CHECK(it.load.at(0).reading == 400);
     CHECK(it.stock.at(0).spent_per_second == tokens(20));
--- a/libs/mesh/peer_view.cpp
+++ b/libs/mesh/peer_view.cpp
@@ -38,7 +38,8 @@
     if (from.host == self_)
         return effect;
     const auto known = rows_.find(from.host);
-    if (known == rows_.end() || known->second.last.life != from.life) {
+    if (known == rows_.end() ||
+        known->second.last.incarnation != from.incarnation) {
         effect.new_node = true;
         effect.died = known != rows_.end() &&
                       known->second.last.state != node_state::leaving;
@@ -66,8 +67,8 @@
 void peer_view::apply_recent_peers(const node_heartbeat& from, instant now)
 {
     for (auto& [host, row] : rows_) {
-        const auto it =
-            std::ranges::find(from.heard, row.last.life, &recent_peer::life);
+        const auto it = std::ranges::find(from.heard, row.last.incarnation,
+                                          &recent_peer::incarnation);
         if (it != from.heard.end())
             row.seen = std::max(row.seen, now - it->ago);
     }
@@ -85,7 +86,7 @@
                               &peer_record::heard);
     std::vector<recent_peer> out;
     for (auto it = rows.begin(); it != rows.begin() + n; ++it)
-        out.push_back({(*it)->last.life, now - (*it)->heard});
+        out.push_back({(*it)->last.incarnation, now - (*it)->heard});
     return out;
 }
 
--- a/libs/mesh/peer_view_test.cpp
+++ b/libs/mesh/peer_view_test.cpp
@@ -17,7 +17,7 @@
 {
     node_heartbeat out;
     out.host = host_id("n" + std::to_string(i));
-    out.life = node_incarnation(incarnation);
+    out.incarnation = node_incarnation(incarnation);
     out.sequence = sequence;
     out.state = node_state::ready;
     out.peer_address = "10.0.0." + std::to_string(i) + ":7000";
@@ -250,7 +250,7 @@
     {
         node_heartbeat out;
         out.host = host_id(name(i));
-        out.life = node_incarnation(static_cast<std::uint64_t>(i) + 1);
+        out.incarnation = node_incarnation(static_cast<std::uint64_t>(i) + 1);
         out.sequence = ++sequence_;
         out.state = node_state::ready;
         out.peer_address = name(i);
--- a/libs/mesh/watch_policy_test.cpp
+++ b/libs/mesh/watch_policy_test.cpp
@@ -169,7 +169,7 @@
     {
         node_heartbeat out;
         out.host = host_id(it.name);
-        out.life = node_incarnation(1);
+        out.incarnation = node_incarnation(1);
         out.sequence = ++it.sequence;
         out.state = node_state::ready;
         out.peer_address = it.name;
