--- a/include/fennelladder/edge/edge_node.hpp
+++ b/include/fennelladder/edge/edge_node.hpp
@@ -76,7 +76,7 @@
     node_tables tables_;
     platform_client client_;
     mesh_node mesh_;
-    token_allocator desk_;
+    token_allocator allocator_;
     platform_feed feed_;
     request_driver driver_;
     caller_server callers_;
--- a/include/fennelladder/edge/mesh_node.hpp
+++ b/include/fennelladder/edge/mesh_node.hpp
@@ -28,7 +28,7 @@
     mesh_node(node_tables& tables, std::string address);
 
     /// Sets the receiver of token messages. Call before start().
-    void set_token_desk(token_allocator& desk);
+    void set_token_allocator(token_allocator& allocator);
 
     /// Opens the sockets and starts to send and receive. Fails if the address
     /// can't be used.
@@ -90,7 +90,7 @@
 
     node_tables& tables_;
     std::string address_;
-    token_allocator* desk_ = nullptr;
+    token_allocator* allocator_ = nullptr;
     udp::socket socket_;
     update_exchange exchange_;
     telemetry::counter& sent_;
--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -1,8 +1,8 @@
 // The state that the components of one node share.
 //
-// The components (caller sessions, platform feed, mesh, token desk) each hold a
-// reference and access these tables from one thread. The tables implement the
-// decisions; the components do the I/O.
+// The components (caller sessions, platform feed, mesh, token allocator) each
+// hold a reference and access these tables from one thread. The tables
+// implement the decisions; the components do the I/O.
 //
 // Not thread safe.
 
--- a/libs/edge/edge_node.cpp
+++ b/libs/edge/edge_node.cpp
@@ -54,11 +54,12 @@
     : io_(io), options_(std::move(options)), log_(log),
       tables_(io, time, std::move(settings), random_seed(), options_.tuning),
       client_(tables_), mesh_(tables_, peer_address(tables_.settings)),
-      desk_(tables_, client_,
-            [this](const std::string& address, const mesh::datagram& message) {
-                mesh_.send(address, message);
-            }),
-      feed_(tables_, client_, mesh_), driver_(tables_, desk_),
+      allocator_(
+          tables_, client_,
+          [this](const std::string& address, const mesh::datagram& message) {
+              mesh_.send(address, message);
+          }),
+      feed_(tables_, client_, mesh_), driver_(tables_, allocator_),
       callers_(tables_, driver_, limits_for(tables_.settings)),
       signals_(io, SIGTERM, SIGINT, SIGHUP),
       settings_text_(options_.settings_text)
@@ -98,14 +99,14 @@
 
 status edge_node::start()
 {
-    mesh_.set_token_desk(desk_);
+    mesh_.set_token_allocator(allocator_);
     if (auto ok = mesh_.start(); !ok)
         return ok;
     if (auto ok = start_servers(); !ok)
         return ok;
     add_seed_nodes();
     feed_.start();
-    desk_.start();
+    allocator_.start();
     spawn(io_, watch_signals());
     spawn(io_, run_periodic_tasks());
     log_event(event::node_started,
@@ -158,7 +159,7 @@
     while (callers_.requests_in_flight() > 0 && tables_.now() < end)
         co_await sleep_on(timer, drain_check_period);
     const std::size_t left = callers_.requests_in_flight();
-    co_await desk_.push_all(token_hand_over_timeout);
+    co_await allocator_.push_all(token_hand_over_timeout);
     log_event(left == 0 ? event::node_stopped : event::node_left_unclean,
               {{"under_way", std::to_string(left)}});
     log_.flush(tables_.now());
--- a/libs/edge/mesh_node.cpp
+++ b/libs/edge/mesh_node.cpp
@@ -84,9 +84,9 @@
       lag_gauge_(tables.metrics.gauge_of(lag_metric))
 {}
 
-void mesh_node::set_token_desk(token_allocator& desk)
+void mesh_node::set_token_allocator(token_allocator& allocator)
 {
-    desk_ = &desk;
+    allocator_ = &allocator;
 }
 
 status mesh_node::start()
@@ -173,8 +173,8 @@
     out.heard = tables_.peers.recent_peers(tables_.now());
     out.load = tables_.registry.own_load();
     keep_largest(out.load, max_loads, &dispatch::target_load::running);
-    if (desk_ != nullptr)
-        out.stock = desk_->local_stock();
+    if (allocator_ != nullptr)
+        out.stock = allocator_->local_stock();
     keep_largest(out.stock, max_stocks, &mesh::token_stock::free);
     out.limits = newest_limits(tables_.registry.own_limits(tables_.now()));
     out.leaving =
@@ -349,16 +349,16 @@
 {
     if (message.heartbeat)
         handle_heartbeat(*message.heartbeat);
-    if (desk_ == nullptr)
+    if (allocator_ == nullptr)
         return;
     if (message.request)
-        desk_->on_token_request(*message.request, from);
+        allocator_->on_token_request(*message.request, from);
     if (message.grant)
-        desk_->on_token_grant(*message.grant);
+        allocator_->on_token_grant(*message.grant);
     if (message.push)
-        desk_->on_token_push(*message.push, from);
+        allocator_->on_token_push(*message.push, from);
     if (message.push_ack)
-        desk_->on_push_acknowledged(*message.push_ack);
+        allocator_->on_push_acknowledged(*message.push_ack);
 }
 
 void mesh_node::handle_heartbeat(const mesh::node_heartbeat& from)
@@ -396,8 +396,8 @@
 void mesh_node::handle_node_death(const host_id& host, instant now)
 {
     tables_.losses.note_death(tables_.peers.host_count(), now);
-    if (desk_ != nullptr)
-        desk_->on_node_death(host);
+    if (allocator_ != nullptr)
+        allocator_->on_node_death(host);
 }
 
 /// Ignores nodes that started later: they have seen less than this one.
@@ -415,8 +415,8 @@
 void mesh_node::apply_load_and_stock(const mesh::node_heartbeat& from)
 {
     tables_.registry.set_peer_load(from.host, from.load);
-    if (desk_ != nullptr)
-        desk_->on_heartbeat(from);
+    if (allocator_ != nullptr)
+        allocator_->on_heartbeat(from);
 }
 
 void mesh_node::apply_target_signals(const mesh::node_heartbeat& from,
