--- a/include/fennelladder/edge/token_allocator.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -96,7 +96,7 @@
         team_id team;
         host_id peer;
         instant at;
-        bool patient = false;
+        bool background = false;
     };
 
     /// A peer's token request that is answered after tokens were withdrawn for
--- a/include/fennelladder/mesh/messages.hpp
+++ b/include/fennelladder/mesh/messages.hpp
@@ -126,7 +126,7 @@
     int urgency = 0;
     /// Requested for stock: no request is waiting, and the node that writes the
     /// allotment record may answer with its next regular write.
-    bool patient = false;
+    bool background = false;
 };
 
 /// The answer to a token_request; the granting node has already debited the
--- a/libs/edge/token_allocator.cpp
+++ b/libs/edge/token_allocator.cpp
@@ -87,9 +87,9 @@
                  .request_tokens =
                      [this](const host_id& writer, const team_id& team,
                             tokens amount) {
-                         send_request(
-                             writer,
-                             {.team = team, .wanted = amount, .patient = true});
+                         send_request(writer, {.team = team,
+                                               .wanted = amount,
+                                               .background = true});
                      }})
 {}
 
@@ -285,7 +285,8 @@
     last_number_ = last_number_.next();
     what.incarnation = tables_.incarnation;
     what.number = last_number_;
-    outstanding_[last_number_] = {what.team, peer, tables_.now(), what.patient};
+    outstanding_[last_number_] = {what.team, peer, tables_.now(),
+                                  what.background};
     peers_.deduct(peer, what.team, what.wanted);
     mesh::datagram message;
     message.request = std::move(what);
@@ -311,14 +312,14 @@
         });
     if (waits)
         return;
-    if (!request.patient)
+    if (!request.background)
         ration_.note(request.team, request.urgency, request.wanted,
                      tables_.now());
     const tokens free = tables_.token_balances.free_of(request.team);
     if (free < request.wanted && refiller_.can_withdraw(request.team)) {
         pending_.push_back({request, from, tables_.now()});
         refiller_.request_tokens(request.team, request.wanted - free,
-                                 request.patient);
+                                 request.background);
         return;
     }
     // Two nodes short of tokens would send the same tokens back and forth.
@@ -355,7 +356,7 @@
     const bool silent = std::ranges::any_of(outstanding_, [&](const auto& it) {
         const outstanding_request& what = it.second;
         const duration timeout =
-            what.patient ? writer_stock_timeout : writer_timeout;
+            what.background ? writer_stock_timeout : writer_timeout;
         return what.peer == writer->last.host && what.at > heard &&
                now - what.at > timeout;
     });
--- a/libs/mesh/messages.cpp
+++ b/libs/mesh/messages.cpp
@@ -522,8 +522,8 @@
         out.amount = from.amount.count();
     if constexpr (requires { from.wanted; })
         out.wanted = from.wanted.count();
-    if constexpr (requires { from.patient; }) {
-        out.__set_patient(from.patient);
+    if constexpr (requires { from.background; }) {
+        out.__set_patient(from.background);
         out.__set_urgency(static_cast<std::int8_t>(from.urgency));
     }
     if constexpr (requires { from.allotted; })
@@ -544,8 +544,8 @@
         out.amount = tokens(from.amount);
     if constexpr (requires { out.wanted; })
         out.wanted = tokens(from.wanted);
-    if constexpr (requires { out.patient; }) {
-        out.patient = from.__isset.patient && from.patient;
+    if constexpr (requires { out.background; }) {
+        out.background = from.__isset.patient && from.patient;
         out.urgency = from.__isset.urgency ? from.urgency : 0;
     }
     if constexpr (requires { out.allotted; })
