--- a/include/fennelladder/dispatch/attempt_policy.hpp
+++ b/include/fennelladder/dispatch/attempt_policy.hpp
@@ -46,7 +46,7 @@
 /// State of a request over its attempts so far.
 struct request_state
 {
-    const catalog::route* way = nullptr;
+    const catalog::route* route = nullptr;
     int sent = 0;         ///< Attempts whose request was sent.
     int may_have_run = 0; ///< Of these, not proved not to have run.
     int rejections = 0;
@@ -54,7 +54,7 @@
     bool head_passed_on = false; ///< The caller has the answer's head.
     /// The part that the caller has is not a stream, so no other target can
     /// continue it.
-    bool part_stands_alone = false;
+    bool partial_body_sent = false;
     duration time_left{0};
 };
 
--- a/libs/dispatch/attempt_policy.cpp
+++ b/libs/dispatch/attempt_policy.cpp
@@ -8,7 +8,7 @@
 
 bool may_repeat(const request_state& so_far)
 {
-    return so_far.way->repeats == catalog::repeat_rule::idempotent;
+    return so_far.route->repeats == catalog::repeat_rule::idempotent;
 }
 
 /// Whether another attempt may give the answer: any may before the head was
@@ -16,7 +16,7 @@
 bool may_resume(const request_state& so_far)
 {
     return !so_far.head_passed_on ||
-           (so_far.way->resumable && !so_far.part_stands_alone);
+           (so_far.route->resumable && !so_far.partial_body_sent);
 }
 
 bool within_limits(const request_state& so_far, attempt_end ended,
@@ -100,14 +100,14 @@
 next_step decide_next(const request_state& so_far, attempt_end ended,
                       const attempt_policy_options& options)
 {
-    assert(so_far.way != nullptr);
+    assert(so_far.route != nullptr);
     if (ended == attempt_end::answered || ended == attempt_end::caller_left)
         return {next_action::finish, false};
     if (ended == attempt_end::out_of_time)
         return {give_up(so_far, ended), false};
     const bool not_run = proved_not_run(ended);
     const bool allowed = may_resume(so_far) &&
-                         so_far.may_have_run < so_far.way->max_targets &&
+                         so_far.may_have_run < so_far.route->max_targets &&
                          (not_run || may_repeat(so_far));
     // A request that may run only once and may have run is never sent again,
     // even if the last attempt was rejected.
--- a/libs/dispatch/attempt_policy_test.cpp
+++ b/libs/dispatch/attempt_policy_test.cpp
@@ -49,9 +49,9 @@
         const next_step step = decide_next(now, ended, {});
         ++checked;
         if (step.action == next_action::try_other) {
-            if (now.way->repeats == catalog::repeat_rule::at_most_once)
+            if (now.route->repeats == catalog::repeat_rule::at_most_once)
                 CHECK_EQUAL(0, now.may_have_run);
-            CHECK(now.may_have_run < now.way->max_targets);
+            CHECK(now.may_have_run < now.route->max_targets);
             if (depth > 0)
                 explore(now, depth - 1, checked);
         }
@@ -77,7 +77,7 @@
                 for (const bool resumable : {false, true}) {
                     const catalog::route on = make_route(rule, most, resumable);
                     request_state start;
-                    start.way = &on;
+                    start.route = &on;
                     start.time_left = seconds(10);
                     start.head_passed_on = begun;
                     explore(start, 4, checked);
@@ -92,7 +92,7 @@
 {
     const auto on = make_route(catalog::repeat_rule::at_most_once, 3, false);
     request_state so_far;
-    so_far.way = &on;
+    so_far.route = &on;
     so_far.sent = 1;
     so_far.may_have_run = 1;
     so_far.time_left = seconds(3);
@@ -104,7 +104,7 @@
 {
     const auto on = make_route(catalog::repeat_rule::at_most_once, 1, false);
     request_state so_far;
-    so_far.way = &on;
+    so_far.route = &on;
     so_far.sent = 1;
     so_far.rejections = 1;
     so_far.time_left = seconds(3);
@@ -117,7 +117,7 @@
 {
     const auto on = make_route(catalog::repeat_rule::at_most_once, 2, false);
     request_state so_far;
-    so_far.way = &on;
+    so_far.route = &on;
     so_far.sent = 1;
     so_far.may_have_run = 1;
     so_far.head_passed_on = true;
@@ -130,7 +130,7 @@
 {
     const auto on = make_route(catalog::repeat_rule::idempotent, 3, false);
     request_state so_far;
-    so_far.way = &on;
+    so_far.route = &on;
     so_far.sent = 1;
     so_far.may_have_run = 1;
     so_far.time_left = milliseconds(10);
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -412,7 +412,7 @@
     if (!got.stale_connection || target.candidates > 1)
         tried_targets_.push_back(target.process());
     state_.head_passed_on = reply_.begun();
-    state_.part_stands_alone |= got.partial_body_sent;
+    state_.partial_body_sent |= got.partial_body_sent;
     state_.time_left = time_left();
 }
 
@@ -458,7 +458,7 @@
 
 awaitable<void> request_run::run_attempts()
 {
-    state_.way = route_;
+    state_.route = route_;
     state_.time_left = time_left();
     tables_.retries.count_request(service_, tables_.now());
     attempt_outcome got;
