--- a/include/fennelladder/edge/token_allocator.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -150,7 +150,7 @@
     node_tables& tables_;
     sender send_;
     mesh::stock_table peers_;
-    prepaid::urgency_reserve ration_;
+    prepaid::urgency_reserve urgency_reserve_;
     stock_refiller refiller_;
     std::vector<std::weak_ptr<asio::steady_timer>> waiters_;
     /// Shared with waiting requests, which may outlive the allocator.
--- a/include/fennelladder/prepaid/urgency_reserve.hpp
+++ b/include/fennelladder/prepaid/urgency_reserve.hpp
@@ -3,7 +3,7 @@
 //
 //     urgency_reserve reserve(options);
 //     reserve.note(team, urgency, wanted, now);     // whether served or not
-//     if (free - wanted < reserve.kept_back(team, urgency, now))
+//     if (free - wanted < reserve.reserved_for_urgent(team, urgency, now))
 //         ... refuse this request ...
 //
 // While the platform is unreachable, a stock lasts for some seconds. If
@@ -53,7 +53,8 @@
     void note(const team_id& team, int urgency, tokens wanted, instant now);
 
     /// Tokens that a request of this urgency must leave to more urgent ones.
-    tokens kept_back(const team_id& team, int urgency, instant now) const;
+    tokens reserved_for_urgent(const team_id& team, int urgency,
+                               instant now) const;
 
 private:
     urgency_reserve_options options_;
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -30,8 +30,8 @@
 
 /// Services without a cold rate are omitted.
 std::unordered_map<service_id, dispatch::cold_start_profile>
-cold_traits_of(const catalog::configuration& config,
-               const adapter::host_settings& settings)
+cold_start_profiles_of(const catalog::configuration& config,
+                       const adapter::host_settings& settings)
 {
     std::unordered_map<service_id, dispatch::cold_start_profile> out;
     for (const catalog::service& it : config.parts().services) {
@@ -172,7 +172,7 @@
     configuration_announced.reset();
     config = std::make_shared<const catalog::configuration>(std::move(parts));
     config_text = std::move(text);
-    registry.set_cold_start_profiles(cold_traits_of(*config, settings));
+    registry.set_cold_start_profiles(cold_start_profiles_of(*config, settings));
     tokens prepaid;
     for (const catalog::team& it : config->parts().teams)
         prepaid += it.prepaid.value_or(tokens(0));
--- a/libs/edge/token_allocator.cpp
+++ b/libs/edge/token_allocator.cpp
@@ -75,7 +75,7 @@
 token_allocator::token_allocator(node_tables& tables, platform_client& client,
                                  sender send)
     : tables_(tables), send_(std::move(send)),
-      ration_(tables.options.urgency_reserve),
+      urgency_reserve_(tables.options.urgency_reserve),
       refiller_(tables, client, peers_,
                 {.on_credited = [this] { answer_pending(instant()); },
                  .on_round_done =
@@ -124,7 +124,7 @@
     const auto* payer = tables_.config->find_team(team);
     if (payer == nullptr || !payer->prepaid || *payer->prepaid < amount)
         co_return shortage::exceeds_prepaid;
-    ration_.note(team, urgency, amount, tables_.now());
+    urgency_reserve_.note(team, urgency, amount, tables_.now());
     const waiting_request here(waiting_by_team_, team);
     std::set<host_id> tried;
     std::optional<record_request> asked;
@@ -163,9 +163,9 @@
 tokens token_allocator::reserved_for_urgent(const team_id& team,
                                             int urgency) const
 {
-    return refiller_.is_scarce(team)
-               ? ration_.kept_back(team, urgency, tables_.now())
-               : tokens(0);
+    return refiller_.is_scarce(team) ? urgency_reserve_.reserved_for_urgent(
+                                           team, urgency, tables_.now())
+                                     : tokens(0);
 }
 
 bool token_allocator::reserve(const team_id& team, tokens amount, int urgency)
@@ -313,8 +313,8 @@
     if (waits)
         return;
     if (!request.background)
-        ration_.note(request.team, request.urgency, request.wanted,
-                     tables_.now());
+        urgency_reserve_.note(request.team, request.urgency, request.wanted,
+                              tables_.now());
     const tokens free = tables_.token_balances.free_of(request.team);
     if (free < request.wanted && refiller_.can_withdraw(request.team)) {
         pending_.push_back({request, from, tables_.now()});
--- a/libs/edge/update_exchange.cpp
+++ b/libs/edge/update_exchange.cpp
@@ -173,9 +173,9 @@
             return mesh::is_large(it->last.capacity, largest);
         });
     const double nodes = static_cast<double>(alive.size() + 1);
-    const double large_part =
+    const double large_fraction =
         (static_cast<double>(others) + (large ? 1 : 0)) / nodes;
-    return mesh::initial_delay(large, large_part, alive.size() + 1,
+    return mesh::initial_delay(large, large_fraction, alive.size() + 1,
                                sources_of(fetch.part).size(), tables_.random);
 }
 
--- a/libs/prepaid/urgency_reserve.cpp
+++ b/libs/prepaid/urgency_reserve.cpp
@@ -11,8 +11,8 @@
     rate.add(static_cast<double>(wanted.count()), now);
 }
 
-tokens urgency_reserve::kept_back(const team_id& team, int urgency,
-                                  instant now) const
+tokens urgency_reserve::reserved_for_urgent(const team_id& team, int urgency,
+                                            instant now) const
 {
     const auto of_team = demand_.find(team);
     if (of_team == demand_.end())
--- a/libs/prepaid/urgency_reserve_test.cpp
+++ b/libs/prepaid/urgency_reserve_test.cpp
@@ -48,9 +48,10 @@
             if (now < outage)
                 continue;
             ++requested[i];
-            const tokens kept = with_reserve
-                                    ? reserve.kept_back(team, it.urgency, now)
-                                    : tokens(0);
+            const tokens kept =
+                with_reserve
+                    ? reserve.reserved_for_urgent(team, it.urgency, now)
+                    : tokens(0);
             if (free - it.tokens_each < kept.count())
                 continue;
             free -= it.tokens_each;
@@ -89,7 +90,8 @@
         reserve.note(team, 0, tokens(900), at);
         reserve.note(team, 1, tokens(100), at);
     }
-    CHECK(reserve.kept_back(team, 1, start + seconds(4)) == tokens(0));
+    CHECK(reserve.reserved_for_urgent(team, 1, start + seconds(4)) ==
+          tokens(0));
 }
 
 TEST(urgency_reserve, serves_more_requests_than_in_order_of_arrival)
@@ -103,13 +105,13 @@
     CHECK(after > before);
 }
 
-TEST(urgency_reserve, nothing_is_kept_back_from_the_most_urgent)
+TEST(urgency_reserve, nothing_is_reserved_against_the_most_urgent)
 {
     urgency_reserve reserve({});
     reserve.note(team, 1, tokens(5000), start);
-    CHECK(reserve.kept_back(team, 0, start) == tokens(0));
-    CHECK(reserve.kept_back(team, 1, start) == tokens(0));
-    CHECK(reserve.kept_back(team_id("other"), 9, start) == tokens(0));
+    CHECK(reserve.reserved_for_urgent(team, 0, start) == tokens(0));
+    CHECK(reserve.reserved_for_urgent(team, 1, start) == tokens(0));
+    CHECK(reserve.reserved_for_urgent(team_id("other"), 9, start) == tokens(0));
 }
 
 TEST(urgency_reserve, demand_decays)
@@ -119,7 +121,9 @@
         reserve.note(team, 0, tokens(100), start + milliseconds(100) * i);
         reserve.note(team, 1, tokens(900), start + milliseconds(100) * i);
     }
-    const tokens then = reserve.kept_back(team, 1, start + seconds(4));
+    const tokens then =
+        reserve.reserved_for_urgent(team, 1, start + seconds(4));
     DOUBLES_EQUAL(8 * 1000, static_cast<double>(then.count()), 800);
-    CHECK(reserve.kept_back(team, 1, start + seconds(60)) < tokens(20));
+    CHECK(reserve.reserved_for_urgent(team, 1, start + seconds(60)) <
+          tokens(20));
 }
