--- a/include/fennelladder/edge/attempt.hpp
+++ b/include/fennelladder/edge/attempt.hpp
@@ -35,7 +35,7 @@
     adapter::header_fields fields;
     std::string body;
     bool has_body = false;
-    adapter::request_header_values facts;
+    adapter::request_header_values header_values;
     instant arrived; ///< When the head had been read.
     bool first_on_connection = false;
 };
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -53,7 +53,7 @@
 private:
     awaitable<bool> connect();
     void record_signals(const response_parser& parser,
-                        const adapter::response_header_values& facts);
+                        const adapter::response_header_values& header_values);
     bool may_still_send();
     bool caller_has_left() const;
     bool may_use_response() const;
@@ -65,7 +65,7 @@
     awaitable<bool> discard(response_parser& parser);
     awaitable<void>
     handle_response(response_parser& parser,
-                    const adapter::response_header_values& facts);
+                    const adapter::response_header_values& header_values);
     awaitable<void> relay_stream(response_parser& parser);
     awaitable<void> relay_buffered(response_parser& parser);
     awaitable<void> relay_unbuffered(response_parser& parser,
@@ -306,20 +306,22 @@
 
 void attempt::release_connection(const response_parser& parser)
 {
-    const auto facts = adapter::parse_response_headers(parser.get().base());
+    const auto header_values =
+        adapter::parse_response_headers(parser.get().base());
     // A target may reject a request before it has read a long body, and then
     // close the connection because of the unread bytes.
-    const bool unread =
-        facts.not_run && outgoing_->body.size() > max_body_read_with_head;
+    const bool unread = header_values.not_run &&
+                        outgoing_->body.size() > max_body_read_with_head;
     // No other request can follow once the sending side was shut down.
     const bool clean = !caller_has_left() && !unread && parser.is_done() &&
                        !parser.need_eof() && parser.keep_alive() &&
-                       !facts.closes_connection && outgoing_->done &&
+                       !header_values.closes_connection && outgoing_->done &&
                        connection_->buf.size() == 0;
     in_.cancellation.detach();
     if (!clean)
         return;
-    in_.tables.pool.release(connection_, facts.keep_alive, in_.tables.now());
+    in_.tables.pool.release(connection_, header_values.keep_alive,
+                            in_.tables.now());
     connection_.reset();
 }
 
@@ -465,15 +467,16 @@
 /// target accepts, including failures, rejections and late responses to other
 /// requests; only a response that the target signed for this request is known
 /// to carry its latest signal.
-void attempt::record_signals(const response_parser& parser,
-                             const adapter::response_header_values& facts)
+void attempt::record_signals(
+    const response_parser& parser,
+    const adapter::response_header_values& header_values)
 {
     auto signals = adapter::parse_target_signals(parser.get().result_int(),
                                                  parser.get().base());
     if (!signals)
         return;
-    signals->is_latest =
-        facts.signed_by_target && facts.request == in_.request.facts.id;
+    signals->is_latest = header_values.signed_by_target &&
+                         header_values.request == in_.request.header_values.id;
     const dispatch::signal_changes news = in_.tables.registry.note_signals(
         in_.target.process(), *signals, in_.tables.now());
     log_signals(in_.target.target, *signals, news, "answer");
@@ -481,10 +484,11 @@
 
 awaitable<void>
 attempt::handle_response(response_parser& parser,
-                         const adapter::response_header_values& facts)
+                         const adapter::response_header_values& header_values)
 {
     const unsigned status = parser.get().result_int();
-    if (facts.not_run || status == adapter::status_misdirected_request) {
+    if (header_values.not_run ||
+        status == adapter::status_misdirected_request) {
         (void)co_await discard(parser);
         release_connection(parser);
         const bool moved = status == adapter::status_misdirected_request;
@@ -493,7 +497,8 @@
             "status " + std::to_string(status));
         co_return;
     }
-    if (!facts.signed_by_target || facts.request != in_.request.facts.id) {
+    if (!header_values.signed_by_target ||
+        header_values.request != in_.request.header_values.id) {
         end(attempt_end::garbled, target_evidence::broke,
             "status " + std::to_string(status) + " without a signature");
         co_return;
@@ -524,11 +529,12 @@
         const bool read = co_await read_head(parser);
         if (!read)
             co_return;
-        const auto facts =
+        const auto header_values =
             adapter::parse_response_headers(parser->get().base());
-        record_signals(*parser, facts);
-        if (facts.request.empty() || facts.request == in_.request.facts.id) {
-            co_await handle_response(*parser, facts);
+        record_signals(*parser, header_values);
+        if (header_values.request.empty() ||
+            header_values.request == in_.request.header_values.id) {
+            co_await handle_response(*parser, header_values);
             co_return;
         }
         const bool discarded_response = co_await discard(*parser);
--- a/libs/edge/caller_server.cpp
+++ b/libs/edge/caller_server.cpp
@@ -248,7 +248,7 @@
     out.path = std::string(message.target());
     out.body = std::move(message.body());
     out.fields = std::move(message.base());
-    out.facts = adapter::parse_request_headers(out.fields);
+    out.header_values = adapter::parse_request_headers(out.fields);
     co_return true;
 }
 
@@ -299,7 +299,7 @@
     const duration took = tables_.now() - request.arrived;
     telemetry::log_event(
         telemetry::event::answer_undelivered,
-        {{"id", request.facts.id},
+        {{"id", request.header_values.id},
          {"answer", reply_.begun() ? "begun" : "none"},
          {"open", socket_.is_open() ? "yes" : "no"},
          {"error", disconnect_reason(reply_.write_error())},
@@ -370,11 +370,11 @@
             reply_.close_when_done();
         if (const char* reason = server_.rejection_reason(request)) {
             telemetry::log_event(telemetry::event::request_refused,
-                                 {{"id", request.facts.id},
+                                 {{"id", request.header_values.id},
                                   {"outcome", "503"},
                                   {"reason", reason}});
-            local_response answer{503, request.facts.id, default_retry_after,
-                                  reason};
+            local_response answer{503, request.header_values.id,
+                                  default_retry_after, reason};
             (void)co_await reply_.send_local(answer);
         } else {
             co_await serve(std::move(request));
--- a/libs/edge/request_driver.cpp
+++ b/libs/edge/request_driver.cpp
@@ -138,8 +138,8 @@
 duration request_run::total_time() const
 {
     duration out = route_->timeout;
-    if (request_.facts.timeout)
-        out = std::min(out, *request_.facts.timeout);
+    if (request_.header_values.timeout)
+        out = std::min(out, *request_.header_values.timeout);
     return dispatch::time_at_node(out, queueing_time_,
                                   request_.first_on_connection);
 }
@@ -175,7 +175,7 @@
 {
     if (!tables_.ready() && config_ == nullptr)
         return refusal{503, startup_retry_after, "no configuration yet"};
-    if (request_.facts.id.empty())
+    if (request_.header_values.id.empty())
         return refusal{400, std::nullopt, "no request id"};
     const auto host = request_.fields[http::field::host];
     route_ = config_->find_route({host.data(), host.size()},
@@ -183,7 +183,7 @@
     if (route_ == nullptr || route_->services.empty())
         return refusal{404, std::nullopt, "no such route"};
     if (!route_->is_public && config_->parts().needs_keys) {
-        team_ = config_->find_team_by_key(request_.facts.key);
+        team_ = config_->find_team_by_key(request_.header_values.key);
         if (team_ == nullptr)
             return refusal{401, std::nullopt, "no valid key"};
     }
@@ -202,13 +202,14 @@
 /// Largest number of tokens that the request can cost.
 tokens request_run::max_cost() const
 {
-    return request_.facts.prompt_size.value_or(tokens(0)) +
-           request_.facts.max_output_tokens.value_or(tokens(0));
+    return request_.header_values.prompt_size.value_or(tokens(0)) +
+           request_.header_values.max_output_tokens.value_or(tokens(0));
 }
 
 awaitable<std::optional<refusal>> request_run::reserve_tokens()
 {
-    if (team_ == nullptr || !team_->prepaid || !request_.facts.prompt_size)
+    if (team_ == nullptr || !team_->prepaid ||
+        !request_.header_values.prompt_size)
         co_return std::nullopt;
     const tokens max_tokens = max_cost();
     const duration wait = std::max(
@@ -240,7 +241,7 @@
         const auto events = static_cast<std::int64_t>(events_.events());
         // Charge one event more than was received: it may have been in transit.
         used_ =
-            std::min(*reserved_, *request_.facts.prompt_size +
+            std::min(*reserved_, *request_.header_values.prompt_size +
                                      tokens((events + 1) * tokens_per_event));
     }
     driver_.allocator_.settle(team_->id, *reserved_, used_);
@@ -255,10 +256,10 @@
     out.objective = route_->objective;
     out.avoid = tried_targets_;
     out.regions = catalog::regions_for(*route_, team_);
-    for (const adapter::prompt_part& it : request_.facts.prompt)
+    for (const adapter::prompt_part& it : request_.header_values.prompt)
         out.prompt.push_back({it.id, it.size});
     out.prompt_size = static_cast<std::uint32_t>(
-        request_.facts.prompt_size.value_or(tokens(0)).count());
+        request_.header_values.prompt_size.value_or(tokens(0)).count());
     return out;
 }
 
@@ -272,8 +273,9 @@
         out.team = team_->id;
     out.time_left = std::max(time_left(), duration(0));
     out.urgency = urgency();
-    out.resume_after = events_.last_id().empty() ? request_.facts.resume_after
-                                                 : events_.last_id();
+    out.resume_after = events_.last_id().empty()
+                           ? request_.header_values.resume_after
+                           : events_.last_id();
     return out;
 }
 
@@ -327,7 +329,7 @@
         .add();
     if (!taken)
         log_event(event::retries_exhausted,
-                  {{"id", request_.facts.id},
+                  {{"id", request_.header_values.id},
                    {"service", service_.str()},
                    {"hosts", std::to_string(tables_.retries.hosts())}});
     return taken;
@@ -487,7 +489,7 @@
         if (got.ended != attempt_end::answered &&
             got.ended != attempt_end::caller_left)
             log_event(event::attempt_ended,
-                      {{"id", request_.facts.id},
+                      {{"id", request_.header_values.id},
                        {"target", target->target.str()},
                        {"address", target->address},
                        {"ended", std::string(to_string(got.ended))},
@@ -509,7 +511,7 @@
     const duration took = tables_.now() - request_.arrived;
     log_event(
         number,
-        {{"id", request_.facts.id},
+        {{"id", request_.header_values.id},
          {"outcome", std::string(outcome)},
          {"reason", std::string(reason)},
          {"route", route_ ? route_->id.str() : ""},
@@ -544,8 +546,8 @@
 
 awaitable<void> request_run::refuse(const refusal& why)
 {
-    local_response answer{why.status, request_.facts.id, why.retry_after,
-                          why.reason};
+    local_response answer{why.status, request_.header_values.id,
+                          why.retry_after, why.reason};
     const bool own_fault = why.status == 503 || why.status == 402;
     log_end(own_fault ? event::request_refused : event::call_rejected,
             std::to_string(why.status), why.reason);
@@ -558,7 +560,7 @@
     settle();
     const std::string ended(to_string(last.ended));
     local_response answer;
-    answer.request = request_.facts.id;
+    answer.request = request_.header_values.id;
     switch (action) {
     case next_action::finish:
         if (last.ended == attempt_end::caller_left)
