--- a/include/fennelladder/catalog/target_signals.hpp
+++ b/include/fennelladder/catalog/target_signals.hpp
@@ -15,8 +15,8 @@
 {
     bool leaving = false;
     /// The target rejected this request and asks this node to send none for
-    /// this long; above 0, at most max_requested_rest.
-    std::optional<duration> rest;
+    /// this long; above 0, at most max_requested_backoff.
+    std::optional<duration> backoff;
     std::optional<duration>
         remaining_cold; ///< Remaining time for which it is cold.
     /// Requests per second that it takes from all nodes together; from 0 to
@@ -30,8 +30,9 @@
 /// No node can reach a higher rate.
 inline constexpr double max_rate_limit = 1e6;
 
-/// A longer rest would outlast the condition for which the target asked for it.
-inline constexpr duration max_requested_rest = minutes(10);
+/// A longer backoff would outlast the condition that the target asked for it
+/// for.
+inline constexpr duration max_requested_backoff = minutes(10);
 
 } // namespace fennelladder::catalog
 
--- a/include/fennelladder/dispatch/signal_state.hpp
+++ b/include/fennelladder/dispatch/signal_state.hpp
@@ -8,7 +8,7 @@
 //
 // - leaving, from answers and peers: binds all nodes, and ends with the
 //   process.
-// - rest (requested backoff), from rejections: binds this node, and ends when
+// - backoff, from rejections: binds this node, and ends when
 //   its time is over.
 // - cold, from answers, entries and the end of an evacuation: binds all nodes
 //   together, and ends when its time is over.
@@ -35,10 +35,10 @@
 struct signal_changes
 {
     bool leaving = false;
-    bool rest = false;
+    bool backoff = false;
     bool rate_limit = false;
 
-    bool any() const { return leaving || rest || rate_limit; }
+    bool any() const { return leaving || backoff || rate_limit; }
 };
 
 /// The request limit that a target announced, or that it has none.
--- a/include/fennelladder/edge/update_exchange.hpp
+++ b/include/fennelladder/edge/update_exchange.hpp
@@ -58,7 +58,7 @@
         const mesh::sync_part part;
         const std::string name; ///< Used in log lines and metrics.
         bool under_way = false;
-        mesh::source_backoff rests;
+        mesh::source_backoff backoff;
         telemetry::counter& done;
         telemetry::counter& not_newer;
         telemetry::counter& busy;
--- a/libs/dispatch/signal_state.cpp
+++ b/libs/dispatch/signal_state.cpp
@@ -34,9 +34,9 @@
         if (own_leaving_heard_ == instant())
             own_leaving_heard_ = now;
     }
-    if (signals.rest && now + *signals.rest > backoff_until_) {
-        backoff_until_ = now + *signals.rest;
-        out.rest = true;
+    if (signals.backoff && now + *signals.backoff > backoff_until_) {
+        backoff_until_ = now + *signals.backoff;
+        out.backoff = true;
     }
     if (signals.remaining_cold)
         extend_cold_until(now + *signals.remaining_cold);
--- a/libs/dispatch/target_signals.cpp
+++ b/libs/dispatch/target_signals.cpp
@@ -16,7 +16,7 @@
     target_state* it = find(target);
     if (it == nullptr)
         return {};
-    it->probe_pending |= signals.rest.has_value();
+    it->probe_pending |= signals.backoff.has_value();
     return it->signals.apply(signals, now);
 }
 
--- a/libs/dispatch/target_signals_test.cpp
+++ b/libs/dispatch/target_signals_test.cpp
@@ -111,10 +111,10 @@
     const entry_map both = {{first.id, first}, {second.id, second}};
     list(both);
     CHECK(!registry.backoff_wait(request_for(), now));
-    registry.note_signals(first.process(), {.rest = seconds(3)}, now);
+    registry.note_signals(first.process(), {.backoff = seconds(3)}, now);
     CHECK(has_target());
     CHECK(!registry.backoff_wait(request_for(), now));
-    registry.note_signals(second.process(), {.rest = seconds(2)}, now);
+    registry.note_signals(second.process(), {.backoff = seconds(2)}, now);
     CHECK(!has_target());
     CHECK(!registry.may_use(first.id, now));
     CHECK(registry.why_no_target(request_for(), now) ==
@@ -134,11 +134,11 @@
     list({{only.id, only}});
     const auto made = registry.choose(request_for(), now, random);
     registry.started(*made, request_for(), now);
-    registry.note_signals(only.process(), {.rest = seconds(3)}, now);
+    registry.note_signals(only.process(), {.backoff = seconds(3)}, now);
     registry.first_byte(*made, seconds(1), now);
     registry.finished(*made, true, target_evidence::answered, now);
     CHECK(!has_target());
-    registry.note_signals(only.process(), {.rest = seconds(1)}, now);
+    registry.note_signals(only.process(), {.backoff = seconds(1)}, now);
     registry.note_signals(only.process(), {.is_latest = true}, now);
     list({});
     list({{only.id, only}});
@@ -146,7 +146,7 @@
     CHECK(!has_target());
     now += milliseconds(1);
     CHECK(has_target());
-    registry.note_signals(only.process(), {.rest = seconds(3)}, now);
+    registry.note_signals(only.process(), {.backoff = seconds(3)}, now);
     const auto next = engine(1, 6);
     list({{next.id, next}});
     CHECK(has_target());
@@ -164,7 +164,7 @@
         return registry.choose(request_for(true), now, random)->target;
     };
     CHECK(chosen() == recovered.id);
-    registry.note_signals(recovered.process(), {.rest = seconds(3)}, now);
+    registry.note_signals(recovered.process(), {.backoff = seconds(3)}, now);
     CHECK(chosen() == busy.id);
     now += seconds(3);
     const auto probe = registry.choose(request_for(true), now, random);
@@ -279,15 +279,15 @@
     {
         if (!is_known())
             return;
-        const duration rest = from_seconds(random_.unit() * 3);
-        registry_.note_signals(process(), {.rest = rest}, now_);
-        backoff_until_ = std::max(backoff_until_, now_ + rest);
+        const duration backoff = from_seconds(random_.unit() * 3);
+        registry_.note_signals(process(), {.backoff = backoff}, now_);
+        backoff_until_ = std::max(backoff_until_, now_ + backoff);
     }
 
     void late_answers()
     {
         registry_.note_signals(engine(1, process_ - 1).process(),
-                               {.leaving = true, .rest = seconds(9)}, now_);
+                               {.leaving = true, .backoff = seconds(9)}, now_);
         registry_.note_signals(process(), {.is_latest = true}, now_);
     }
 
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -61,10 +61,10 @@
     if (changes.leaving)
         log_event(event::target_leaving,
                   {{"target", target.str()}, {"by", by}});
-    if (changes.rest)
+    if (changes.backoff)
         log_event(event::target_rests,
                   {{"target", target.str()},
-                   {"rest_ms", milliseconds_text(*said.rest)},
+                   {"rest_ms", milliseconds_text(*said.backoff)},
                    {"by", by}});
     if (changes.rate_limit)
         log_event(event::target_limited,
--- a/libs/edge/update_exchange.cpp
+++ b/libs/edge/update_exchange.cpp
@@ -143,7 +143,7 @@
         const auto sources = sources_of(fetch.part);
         if (sources.empty())
             break;
-        const auto available = fetch.rests.available(sources, tables_.now());
+        const auto available = fetch.backoff.available(sources, tables_.now());
         const std::string address = mesh::choose_source(
             available, tables_.settings.data_center, tables_.random);
         fetch_result end = fetch_result::busy;
@@ -271,7 +271,7 @@
 {
     fetch.count_of(end).add();
     const int fruitless =
-        fetch.rests.note(address, end, tables_.now(), tables_.random);
+        fetch.backoff.note(address, end, tables_.now(), tables_.random);
     const bool is_useless =
         end == fetch_result::failed ||
         (end == fetch_result::not_newer && fruitless >= max_fruitless_requests);
