--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -48,7 +48,8 @@
 
 /// Logs each signal of a target that is new. `by` names the source: a response,
 /// or the peer that reported it.
-void log_signals(const target_id& target, const catalog::target_signals& said,
+void log_signals(const target_id& target,
+                 const catalog::target_signals& signals,
                  const dispatch::signal_changes& changes,
                  const std::string& by);
 
--- a/include/fennelladder/edge/token_allocator.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -74,7 +74,7 @@
                           const std::string& from);
     void on_token_grant(const mesh::token_grant& grant);
     void on_token_push(const mesh::token_push& push, const std::string& from);
-    void on_push_acknowledged(const mesh::token_push_ack& taken);
+    void on_push_acknowledged(const mesh::token_push_ack& ack);
 
     /// Records the balances that another node reports.
     void on_heartbeat(const mesh::node_heartbeat& from);
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -407,21 +407,21 @@
     restart_idle_timer(std::nullopt);
     out_.partial_body_sent = true;
     const response_head head = to_response_head(parser);
-    bool taken = co_await in_.reply.begin(head);
-    while (taken) {
-        taken = co_await in_.reply.send_chunk(part);
-        if (!taken || parser.is_done())
+    bool relayed = co_await in_.reply.begin(head);
+    while (relayed) {
+        relayed = co_await in_.reply.send_chunk(part);
+        if (!relayed || parser.is_done())
             break;
         part.clear();
         const bool more = co_await read_body_part(parser, part);
         if (!more)
             co_return;
     }
-    if (taken) {
+    if (relayed) {
         release_connection(parser);
-        taken = co_await in_.reply.finish();
+        relayed = co_await in_.reply.finish();
     }
-    if (taken)
+    if (relayed)
         end(attempt_end::answered, target_evidence::answered, "");
     else
         end(attempt_end::caller_left, target_evidence::nothing, "caller");
@@ -477,9 +477,9 @@
         return;
     signals->is_latest = header_values.signed_by_target &&
                          header_values.request == in_.request.header_values.id;
-    const dispatch::signal_changes news = in_.tables.registry.note_signals(
+    const dispatch::signal_changes changes = in_.tables.registry.note_signals(
         in_.target.process(), *signals, in_.tables.now());
-    log_signals(in_.target.target, *signals, news, "answer");
+    log_signals(in_.target.target, *signals, changes, "answer");
 }
 
 awaitable<void>
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -55,7 +55,8 @@
 
 } // namespace
 
-void log_signals(const target_id& target, const catalog::target_signals& said,
+void log_signals(const target_id& target,
+                 const catalog::target_signals& signals,
                  const dispatch::signal_changes& changes, const std::string& by)
 {
     if (changes.leaving)
@@ -64,14 +65,15 @@
     if (changes.backoff)
         log_event(event::target_rests,
                   {{"target", target.str()},
-                   {"rest_ms", milliseconds_text(*said.backoff)},
+                   {"rest_ms", milliseconds_text(*signals.backoff)},
                    {"by", by}});
     if (changes.rate_limit)
-        log_event(event::target_limited,
-                  {{"target", target.str()},
-                   {"rate", said.rate_limit ? std::to_string(*said.rate_limit)
-                                            : "none"},
-                   {"by", by}});
+        log_event(
+            event::target_limited,
+            {{"target", target.str()},
+             {"rate", signals.rate_limit ? std::to_string(*signals.rate_limit)
+                                         : "none"},
+             {"by", by}});
 }
 
 node_tables::node_tables(asio::io_context& context, const clock& clock_used,
--- a/libs/edge/stock_refiller.cpp
+++ b/libs/edge/stock_refiller.cpp
@@ -202,10 +202,10 @@
     prepaid::token_amounts out;
     const auto all = holders();
     for (const auto& [team, total] : writer_.prepaid_totals()) {
-        const tokens wish = prepaid::tokens_to_take(state_of(team, total, all),
-                                                    tables_.options.stock);
-        if (wish > tokens(0))
-            out[team] = wish;
+        const tokens wanted = prepaid::tokens_to_take(
+            state_of(team, total, all), tables_.options.stock);
+        if (wanted > tokens(0))
+            out[team] = wanted;
     }
     return out;
 }
@@ -225,12 +225,12 @@
     if (!is_stock_holder())
         return;
     const instant now = tables_.now();
-    for (const auto& [team, wish] : withdrawals()) {
+    for (const auto& [team, wanted] : withdrawals()) {
         instant& last = requested_at_[team];
         if (now - last < tables_.options.stock.write_interval)
             continue;
         last = now;
-        hooks_.request_tokens(writer, team, wish);
+        hooks_.request_tokens(writer, team, wanted);
     }
 }
 
--- a/libs/edge/token_allocator.cpp
+++ b/libs/edge/token_allocator.cpp
@@ -416,10 +416,10 @@
     send_(from, message);
 }
 
-void token_allocator::on_push_acknowledged(const mesh::token_push_ack& taken)
+void token_allocator::on_push_acknowledged(const mesh::token_push_ack& ack)
 {
-    if (taken.incarnation == tables_.incarnation)
-        pushes_.erase(taken.number);
+    if (ack.incarnation == tables_.incarnation)
+        pushes_.erase(ack.number);
 }
 
 void token_allocator::on_heartbeat(const mesh::node_heartbeat& from)
