--- a/include/fennelladder/edge/node_tables.hpp
+++ b/include/fennelladder/edge/node_tables.hpp
@@ -1,8 +1,8 @@
 // The state that the components of one node share.
 //
-// The components (caller sessions, platform feed, mesh, token desk) each hold a
-// reference and access these tables from one thread. The tables implement the
-// decisions; the components do the I/O.
+// The components (caller sessions, platform feed, mesh, token allocator) each
+// hold a reference and access these tables from one thread. The tables
+// implement the decisions; the components do the I/O.
 //
 // Not thread safe.
 
@@ -48,7 +48,8 @@
 
 /// Logs each signal of a target that is new. `by` names the source: a response,
 /// or the peer that reported it.
-void log_signals(const target_id& target, const catalog::target_signals& said,
+void log_signals(const target_id& target,
+                 const catalog::target_signals& signals,
                  const dispatch::signal_changes& changes,
                  const std::string& by);
 
@@ -133,7 +134,7 @@
     random_source random;
     adapter::host_settings settings;
     const tuning_options options;
-    mesh::node_incarnation life; ///< The incarnation of this process.
+    mesh::node_incarnation incarnation; ///< The incarnation of this process.
 
     /// Null if none is known yet.
     std::shared_ptr<const catalog::configuration> config;
--- a/include/fennelladder/edge/token_allocator.hpp
+++ b/include/fennelladder/edge/token_allocator.hpp
@@ -74,7 +74,7 @@
                           const std::string& from);
     void on_token_grant(const mesh::token_grant& grant);
     void on_token_push(const mesh::token_push& push, const std::string& from);
-    void on_push_acknowledged(const mesh::token_push_ack& taken);
+    void on_push_acknowledged(const mesh::token_push_ack& ack);
 
     /// Records the balances that another node reports.
     void on_heartbeat(const mesh::node_heartbeat& from);
@@ -96,7 +96,7 @@
         team_id team;
         host_id peer;
         instant at;
-        bool patient = false;
+        bool background = false;
     };
 
     /// A peer's token request that is answered after tokens were withdrawn for
@@ -150,7 +150,7 @@
     node_tables& tables_;
     sender send_;
     mesh::stock_table peers_;
-    prepaid::urgency_reserve ration_;
+    prepaid::urgency_reserve urgency_reserve_;
     stock_refiller refiller_;
     std::vector<std::weak_ptr<asio::steady_timer>> waiters_;
     /// Shared with waiting requests, which may outlive the allocator.
--- a/libs/edge/node_tables.cpp
+++ b/libs/edge/node_tables.cpp
@@ -30,8 +30,8 @@
 
 /// Services without a cold rate are omitted.
 std::unordered_map<service_id, dispatch::cold_start_profile>
-cold_traits_of(const catalog::configuration& config,
-               const adapter::host_settings& settings)
+cold_start_profiles_of(const catalog::configuration& config,
+                       const adapter::host_settings& settings)
 {
     std::unordered_map<service_id, dispatch::cold_start_profile> out;
     for (const catalog::service& it : config.parts().services) {
@@ -55,30 +55,32 @@
 
 } // namespace
 
-void log_signals(const target_id& target, const catalog::target_signals& said,
+void log_signals(const target_id& target,
+                 const catalog::target_signals& signals,
                  const dispatch::signal_changes& changes, const std::string& by)
 {
     if (changes.leaving)
         log_event(event::target_leaving,
                   {{"target", target.str()}, {"by", by}});
-    if (changes.rest)
+    if (changes.backoff)
         log_event(event::target_rests,
                   {{"target", target.str()},
-                   {"rest_ms", milliseconds_text(*said.rest)},
+                   {"rest_ms", milliseconds_text(*signals.backoff)},
                    {"by", by}});
     if (changes.rate_limit)
-        log_event(event::target_limited,
-                  {{"target", target.str()},
-                   {"rate", said.rate_limit ? std::to_string(*said.rate_limit)
-                                            : "none"},
-                   {"by", by}});
+        log_event(
+            event::target_limited,
+            {{"target", target.str()},
+             {"rate", signals.rate_limit ? std::to_string(*signals.rate_limit)
+                                         : "none"},
+             {"by", by}});
 }
 
 node_tables::node_tables(asio::io_context& context, const clock& clock_used,
                          adapter::host_settings given, std::uint64_t seed,
                          tuning_options tuning)
     : io(context), time(clock_used), random(seed), settings(std::move(given)),
-      options(std::move(tuning)), life(random.bits() >> 1),
+      options(std::move(tuning)), incarnation(random.bits() >> 1),
       lateness(settings.update_bound()),
       registry(registry_options(settings, options.registry)),
       retries(retry_options(settings, options.retries)), poison({}),
@@ -172,7 +174,7 @@
     configuration_announced.reset();
     config = std::make_shared<const catalog::configuration>(std::move(parts));
     config_text = std::move(text);
-    registry.set_cold_start_profiles(cold_traits_of(*config, settings));
+    registry.set_cold_start_profiles(cold_start_profiles_of(*config, settings));
     tokens prepaid;
     for (const catalog::team& it : config->parts().teams)
         prepaid += it.prepaid.value_or(tokens(0));
--- a/libs/edge/token_allocator.cpp
+++ b/libs/edge/token_allocator.cpp
@@ -75,7 +75,7 @@
 token_allocator::token_allocator(node_tables& tables, platform_client& client,
                                  sender send)
     : tables_(tables), send_(std::move(send)),
-      ration_(tables.options.urgency_reserve),
+      urgency_reserve_(tables.options.urgency_reserve),
       refiller_(tables, client, peers_,
                 {.on_credited = [this] { answer_pending(instant()); },
                  .on_round_done =
@@ -87,9 +87,9 @@
                  .request_tokens =
                      [this](const host_id& writer, const team_id& team,
                             tokens amount) {
-                         send_request(
-                             writer,
-                             {.team = team, .wanted = amount, .patient = true});
+                         send_request(writer, {.team = team,
+                                               .wanted = amount,
+                                               .background = true});
                      }})
 {}
 
@@ -124,7 +124,7 @@
     const auto* payer = tables_.config->find_team(team);
     if (payer == nullptr || !payer->prepaid || *payer->prepaid < amount)
         co_return shortage::exceeds_prepaid;
-    ration_.note(team, urgency, amount, tables_.now());
+    urgency_reserve_.note(team, urgency, amount, tables_.now());
     const waiting_request here(waiting_by_team_, team);
     std::set<host_id> tried;
     std::optional<record_request> asked;
@@ -163,9 +163,9 @@
 tokens token_allocator::reserved_for_urgent(const team_id& team,
                                             int urgency) const
 {
-    return refiller_.is_scarce(team)
-               ? ration_.kept_back(team, urgency, tables_.now())
-               : tokens(0);
+    return refiller_.is_scarce(team) ? urgency_reserve_.reserved_for_urgent(
+                                           team, urgency, tables_.now())
+                                     : tokens(0);
 }
 
 bool token_allocator::reserve(const team_id& team, tokens amount, int urgency)
@@ -283,9 +283,10 @@
                                                     mesh::token_request what)
 {
     last_number_ = last_number_.next();
-    what.life = tables_.life;
+    what.incarnation = tables_.incarnation;
     what.number = last_number_;
-    outstanding_[last_number_] = {what.team, peer, tables_.now(), what.patient};
+    outstanding_[last_number_] = {what.team, peer, tables_.now(),
+                                  what.background};
     peers_.deduct(peer, what.team, what.wanted);
     mesh::datagram message;
     message.request = std::move(what);
@@ -296,7 +297,7 @@
 void token_allocator::on_token_request(const mesh::token_request& request,
                                        const std::string& from)
 {
-    const transfer_key key{request.life, request.number};
+    const transfer_key key{request.incarnation, request.number};
     const auto known = grants_sent_.find(key);
     if (known != grants_sent_.end()) {
         mesh::datagram again;
@@ -306,19 +307,19 @@
     }
     const bool waits =
         std::ranges::any_of(pending_, [&](const pending_request& it) {
-            return it.request.life == request.life &&
+            return it.request.incarnation == request.incarnation &&
                    it.request.number == request.number;
         });
     if (waits)
         return;
-    if (!request.patient)
-        ration_.note(request.team, request.urgency, request.wanted,
-                     tables_.now());
+    if (!request.background)
+        urgency_reserve_.note(request.team, request.urgency, request.wanted,
+                              tables_.now());
     const tokens free = tables_.token_balances.free_of(request.team);
     if (free < request.wanted && refiller_.can_withdraw(request.team)) {
         pending_.push_back({request, from, tables_.now()});
         refiller_.request_tokens(request.team, request.wanted - free,
-                                 request.patient);
+                                 request.background);
         return;
     }
     // Two nodes short of tokens would send the same tokens back and forth.
@@ -355,7 +356,7 @@
     const bool silent = std::ranges::any_of(outstanding_, [&](const auto& it) {
         const outstanding_request& what = it.second;
         const duration timeout =
-            what.patient ? writer_stock_timeout : writer_timeout;
+            what.background ? writer_stock_timeout : writer_timeout;
         return what.peer == writer->last.host && what.at > heard &&
                now - what.at > timeout;
     });
@@ -367,10 +368,10 @@
                                  const std::string& from, tokens amount)
 {
     mesh::datagram message;
-    message.grant = {request.life, request.number, request.team, amount,
+    message.grant = {request.incarnation, request.number, request.team, amount,
                      refiller_.allotted_of(request.team)};
-    grants_sent_[{request.life, request.number}] = {*message.grant,
-                                                    tables_.now()};
+    grants_sent_[{request.incarnation, request.number}] = {*message.grant,
+                                                           tables_.now()};
     send_(from, message);
     if (amount > tokens(0))
         log_event(
@@ -386,8 +387,8 @@
 void token_allocator::on_token_grant(const mesh::token_grant& grant)
 {
     const auto it = outstanding_.find(grant.number);
-    const bool ours = grant.life == tables_.life && it != outstanding_.end() &&
-                      it->second.team == grant.team;
+    const bool ours = grant.incarnation == tables_.incarnation &&
+                      it != outstanding_.end() && it->second.team == grant.team;
     if (!ours)
         return;
     last_grant_from_[it->second.peer] = tables_.now();
@@ -401,7 +402,7 @@
 void token_allocator::on_token_push(const mesh::token_push& push,
                                     const std::string& from)
 {
-    const auto key = std::make_pair(push.life, push.number);
+    const auto key = std::make_pair(push.incarnation, push.number);
     if (pushes_received_.emplace(key, tables_.now()).second) {
         tables_.token_balances.credit(push.team, push.amount);
         log_event(event::tokens_moved,
@@ -411,14 +412,14 @@
         wake_waiters();
     }
     mesh::datagram message;
-    message.push_ack = {push.life, push.number};
+    message.push_ack = {push.incarnation, push.number};
     send_(from, message);
 }
 
-void token_allocator::on_push_acknowledged(const mesh::token_push_ack& taken)
+void token_allocator::on_push_acknowledged(const mesh::token_push_ack& ack)
 {
-    if (taken.life == tables_.life)
-        pushes_.erase(taken.number);
+    if (ack.incarnation == tables_.incarnation)
+        pushes_.erase(ack.number);
 }
 
 void token_allocator::on_heartbeat(const mesh::node_heartbeat& from)
@@ -479,7 +480,7 @@
         if (taker.empty())
             continue;
         last_number_ = last_number_.next();
-        const mesh::token_push push{tables_.life, last_number_, it.team,
+        const mesh::token_push push{tables_.incarnation, last_number_, it.team,
                                     tables_.token_balances.debit_all(it.team)};
         pushes_[last_number_] = push;
         spawn(tables_.io, repeat_push(push, taker, until));
--- a/libs/mesh/messages.cpp
+++ b/libs/mesh/messages.cpp
@@ -248,7 +248,7 @@
 {
     wire::Beacon out;
     out.host = from.host.str();
-    out.life = to_signed(from.life.value());
+    out.life = to_signed(from.incarnation.value());
     out.sequence = to_signed(from.sequence);
     out.state = static_cast<std::int8_t>(from.state);
     out.data_center = from.data_center.str();
@@ -308,7 +308,7 @@
     out.__isset.introduced = !out.introduced.empty();
     for (const recent_peer& it : from.heard) {
         wire::HeardNode heard;
-        heard.life = to_signed(it.life.value());
+        heard.life = to_signed(it.incarnation.value());
         heard.ago_ms = age_to_wire(it.ago);
         out.heard.push_back(heard);
     }
@@ -461,7 +461,7 @@
 {
     node_heartbeat out;
     out.host = host_id(from.host);
-    out.life = id_of<node_incarnation>(from.life);
+    out.incarnation = id_of<node_incarnation>(from.life);
     out.sequence = static_cast<std::uint64_t>(from.sequence);
     // An unknown state of a later release counts as one that accepts no
     // callers.
@@ -514,7 +514,7 @@
 Wire transfer_to_wire(const Message& from)
 {
     Wire out;
-    out.life = to_signed(from.life.value());
+    out.life = to_signed(from.incarnation.value());
     out.number = to_signed(from.number.value());
     if constexpr (requires { from.team; })
         out.team = from.team.str();
@@ -522,8 +522,8 @@
         out.amount = from.amount.count();
     if constexpr (requires { from.wanted; })
         out.wanted = from.wanted.count();
-    if constexpr (requires { from.patient; }) {
-        out.__set_patient(from.patient);
+    if constexpr (requires { from.background; }) {
+        out.__set_patient(from.background);
         out.__set_urgency(static_cast<std::int8_t>(from.urgency));
     }
     if constexpr (requires { from.allotted; })
@@ -536,7 +536,7 @@
 Message transfer_from_wire(const Wire& from)
 {
     Message out;
-    out.life = id_of<node_incarnation>(from.life);
+    out.incarnation = id_of<node_incarnation>(from.life);
     out.number = id_of<transfer_number>(from.number);
     if constexpr (requires { out.team; })
         out.team = team_id(from.team);
@@ -544,8 +544,8 @@
         out.amount = tokens(from.amount);
     if constexpr (requires { out.wanted; })
         out.wanted = tokens(from.wanted);
-    if constexpr (requires { out.patient; }) {
-        out.patient = from.__isset.patient && from.patient;
+    if constexpr (requires { out.background; }) {
+        out.background = from.__isset.patient && from.patient;
         out.urgency = from.__isset.urgency ? from.urgency : 0;
     }
     if constexpr (requires { out.allotted; })
