--- a/include/fennelladder/dispatch/assignment_table.hpp
+++ b/include/fennelladder/dispatch/assignment_table.hpp
@@ -85,7 +85,8 @@
 
 private:
     std::size_t rank(const target_id& target) const;
-    std::size_t count_ahead(const target_id& target) const;
+    /// Number of hosts that rank before this one; rank() caches it.
+    std::size_t count_higher_ranked(const target_id& target) const;
 
     host_id self_;
     assignment_options options_;
--- a/include/fennelladder/dispatch/retry_budget.hpp
+++ b/include/fennelladder/dispatch/retry_budget.hpp
@@ -57,7 +57,7 @@
     /// it.
     void set_hosts(std::size_t hosts, instant now);
 
-    std::size_t hosts() const { return hosts_; }
+    std::size_t hosts() const { return host_count_; }
 
     void count_request(const service_id& service, instant now);
 
@@ -89,8 +89,8 @@
     static constexpr int slices_per_window = 20;
 
     retry_budget_options options_;
-    std::size_t hosts_ = 0;
-    instant hosts_known_since_; ///< Since when `hosts_` isn't 0.
+    std::size_t host_count_ = 0;
+    instant hosts_known_since_; ///< Since when `host_count_` isn't 0.
     std::unordered_map<service_id, account> accounts_;
 };
 
--- a/include/fennelladder/dispatch/signal_state.hpp
+++ b/include/fennelladder/dispatch/signal_state.hpp
@@ -73,7 +73,10 @@
     std::optional<double> rate_limit(instant now) const;
 
     /// Time since any node last got a signal on the limit.
-    duration limit_signal_age(instant now) const { return now - limit_time_; }
+    duration limit_signal_age(instant now) const
+    {
+        return now - limit_signal_time_;
+    }
 
     /// This node's own limit signal to send to its peers; unset if it got none
     /// recently.
@@ -94,10 +97,10 @@
     instant backoff_until_;
     instant cold_until_;
     std::optional<double> rate_limit_; ///< Latest signal to any node.
-    instant limit_time_;
+    instant limit_signal_time_;
     std::optional<double> own_rate_; ///< Latest signal to this node.
-    instant own_limit_time_;
-    instant own_limit_named_; ///< When this node last got a limit.
+    instant own_limit_signal_time_;
+    instant own_limit_announced_; ///< When this node last got a limit.
 };
 
 } // namespace fennelladder::dispatch
--- a/include/fennelladder/dispatch/target_registry.hpp
+++ b/include/fennelladder/dispatch/target_registry.hpp
@@ -317,7 +317,8 @@
     void finished(const choice& made, bool prefilled, target_evidence evidence,
                   instant now);
 
-    /// Evidence without a started request, such as a failed connection.
+    /// Records evidence that doesn't come from a started request, such as a
+    /// failed connection.
     void note_evidence(const catalog::target_process& target,
                        target_evidence evidence, instant now);
 
@@ -355,7 +356,7 @@
         int peers_running = 0;
         std::int64_t peers_reading = 0;
         decaying_average log_slowness; ///< Natural logarithm; 0: as predicted.
-        decaying_average failures;     ///< Share, 0 to 1.
+        decaying_average failure_rate; ///< 0 to 1.
         instant backoff_until;
         int awaiting_first_byte = 0; ///< Requests.
         /// When the last byte came, or when requests began to wait.
--- a/libs/dispatch/assignment_table.cpp
+++ b/libs/dispatch/assignment_table.cpp
@@ -52,11 +52,11 @@
         ranks_.clear();
     const auto [it, is_new] = ranks_.try_emplace(target);
     if (is_new)
-        it->second = count_ahead(target);
+        it->second = count_higher_ranked(target);
     return it->second;
 }
 
-std::size_t assignment_table::count_ahead(const target_id& target) const
+std::size_t assignment_table::count_higher_ranked(const target_id& target) const
 {
     const std::uint64_t seed = hash64(target.str());
     const auto place_of = [&](const host_id& host) {
--- a/libs/dispatch/retry_budget.cpp
+++ b/libs/dispatch/retry_budget.cpp
@@ -14,7 +14,8 @@
 /// This node's part of the slack of one window.
 double retry_budget::own_slack() const
 {
-    return hosts_ == 0 ? 0 : options_.slack / static_cast<double>(hosts_);
+    return host_count_ == 0 ? 0
+                            : options_.slack / static_cast<double>(host_count_);
 }
 
 double retry_budget::max_balance(const account& it) const
@@ -46,20 +47,20 @@
 {
     const auto [it, is_new] = accounts_.try_emplace(service);
     if (is_new)
-        it->second.settled = hosts_ == 0 ? now : hosts_known_since_;
+        it->second.settled = host_count_ == 0 ? now : hosts_known_since_;
     settle(it->second, now);
     return it->second;
 }
 
 void retry_budget::set_hosts(std::size_t hosts, instant now)
 {
-    if (hosts == hosts_)
+    if (hosts == host_count_)
         return;
     for (auto& [service, it] : accounts_)
         settle(it, now);
-    if (hosts_ == 0)
+    if (host_count_ == 0)
         hosts_known_since_ = now;
-    hosts_ = hosts;
+    host_count_ = hosts;
 }
 
 double retry_budget::left(const service_id& service, instant now)
--- a/libs/dispatch/signal_state.cpp
+++ b/libs/dispatch/signal_state.cpp
@@ -42,9 +42,9 @@
         extend_cold_until(now + *signals.remaining_cold);
     if (signals.rate_limit || signals.is_latest) {
         own_rate_ = signals.rate_limit;
-        own_limit_time_ = now;
+        own_limit_signal_time_ = now;
         if (own_rate_)
-            own_limit_named_ = now;
+            own_limit_announced_ = now;
         out.rate_limit = apply_peer_limit(own_rate_, now);
     }
     return out;
@@ -58,9 +58,9 @@
 
 bool signal_state::apply_peer_limit(std::optional<double> rate, instant at)
 {
-    if (at < limit_time_)
+    if (at < limit_signal_time_)
         return false;
-    limit_time_ = at;
+    limit_signal_time_ = at;
     return std::exchange(rate_limit_, rate) != rate;
 }
 
@@ -81,9 +81,9 @@
 
 std::optional<rate_signal> signal_state::limit_for_peers(instant now) const
 {
-    if (!is_within(own_limit_named_, peer_report_span, now))
+    if (!is_within(own_limit_announced_, peer_report_span, now))
         return std::nullopt;
-    return rate_signal{own_rate_, now - own_limit_time_};
+    return rate_signal{own_rate_, now - own_limit_signal_time_};
 }
 
 std::optional<duration> signal_state::leaving_for_peers(instant now) const
--- a/libs/dispatch/target_choice.cpp
+++ b/libs/dispatch/target_choice.cpp
@@ -100,8 +100,8 @@
 {
     const double slowness = std::exp(decayed(it.log_slowness, now));
     const double objective = std::max(to_seconds(request.objective), 0.05);
-    double out = predicted * slowness +
-                 decayed(it.failures, now) * options_.failure_cost * objective;
+    double out = predicted * slowness + decayed(it.failure_rate, now) *
+                                            options_.failure_cost * objective;
     if (it.entry.data_center != options_.own_data_center)
         out += to_seconds(options_.remote_penalty);
     return out;
@@ -227,9 +227,10 @@
         const std::uint32_t reading = request.prompt_size - here;
         const std::uint32_t fetched =
             held_most > here + options_.min_fetch_tokens ? held_most - here : 0;
-        // The holder may have evicted the part, and a part held by two targets
-        // is soon evicted by both. Hence the cost counts a fetched part as
-        // fully prefilled, and shared parts more than the unshared one.
+        // A fetch may fail because the holder has evicted the part, and a part
+        // cached at two targets is soon evicted by both. Hence the cost counts
+        // a part to be fetched as if it were prefilled here, and gives tokens
+        // of shared parts a higher weight than those of the unshared part.
         const std::uint32_t shared = shared_size(request.prompt);
         const double again = shared > here ? shared - here : 0;
         const auto weighted = static_cast<std::uint32_t>(
--- a/libs/dispatch/target_registry.cpp
+++ b/libs/dispatch/target_registry.cpp
@@ -106,7 +106,7 @@
     it.consecutive_backoffs = 0;
     it.probe_running = false;
     it.backoff_until = instant();
-    it.failures = {};
+    it.failure_rate = {};
 }
 
 /// A later start resets the state: the averages, backoffs and counts of a
@@ -394,22 +394,22 @@
         it->consecutive_backoffs = 0;
         it->probe_running = false;
         end_probe(*it, now);
-        observe(it->failures, 0, now);
+        observe(it->failure_rate, 0, now);
         return;
     case target_evidence::failed:
         suspect_restart(*it, now);
         it->consecutive_backoffs = 0;
         it->probe_running = false;
         end_probe(*it, now);
-        observe(it->failures, 0.5, now);
+        observe(it->failure_rate, 0.5, now);
         return;
     case target_evidence::broke:
     case target_evidence::silent:
         it->probe_running = false;
-        observe(it->failures, 1, now);
+        observe(it->failure_rate, 1, now);
         return;
     case target_evidence::unreachable:
-        observe(it->failures, 1, now);
+        observe(it->failure_rate, 1, now);
         // Several requests may fail at once; that counts as one backoff.
         if (now >= it->backoff_until)
             back_off(*it, options_.initial_backoff, now);
