--- a/include/fennelladder/prepaid/loss_tracker.hpp
+++ b/include/fennelladder/prepaid/loss_tracker.hpp
@@ -31,7 +31,8 @@
 {
     /// Half-life of a loss.
     duration half_life = minutes(5);
-    /// By then a process that starts has heard from older nodes.
+    /// Time after its start within which a process has heard from older nodes,
+    /// if there are any.
     duration discovery_time = seconds(3);
 };
 
@@ -61,8 +62,8 @@
     loss_tracker_options options_;
     instant started_;
     bool assumes_total_loss_; ///< Until an older node reports.
-    double counted_ = 0;      ///< As of `changed_`.
-    instant changed_;
+    double counted_ = 0;      ///< As of `counted_at_`.
+    instant counted_at_;
 };
 
 } // namespace fennelladder::prepaid
--- a/include/fennelladder/prepaid/outage_tracker.hpp
+++ b/include/fennelladder/prepaid/outage_tracker.hpp
@@ -52,7 +52,7 @@
 
     outage_tracker_options options_;
     std::optional<instant> began_; ///< Of the outage in progress.
-    std::deque<outage> past_;
+    std::deque<outage> past_outages_;
 };
 
 } // namespace fennelladder::prepaid
--- a/include/fennelladder/prepaid/stock_plan.hpp
+++ b/include/fennelladder/prepaid/stock_plan.hpp
@@ -73,11 +73,12 @@
     /// most a dozen nodes spend a team's tokens, so together they hold no more
     /// than a quarter.
     double max_request_ahead_share = 0.02;
-    /// Between two writes that no request waits for, and between two requests
-    /// of a stock holder to the writer.
+    /// Minimum time between two writes of the record that no request waits for,
+    /// and between two requests of a stock holder to the node that writes.
     duration write_interval = seconds(1);
-    /// The same if requests wait for tokens. Demand that arises meanwhile goes
-    /// into the same write, so a request waits at least this long.
+    /// Minimum time between two writes if requests wait for tokens. Demand that
+    /// arises meanwhile goes into the same write, so a request waits at least
+    /// this long.
     duration urgent_write_interval = milliseconds(30);
     /// Longest backoff after a write that lost to a concurrent one, doubled
     /// with each conflict in a row. Two nodes that both act as the writer would
--- a/libs/prepaid/loss_tracker.cpp
+++ b/libs/prepaid/loss_tracker.cpp
@@ -19,13 +19,13 @@
 loss_tracker::loss_tracker(bool first_start, instant now,
                            loss_tracker_options options)
     : options_(options), started_(now), assumes_total_loss_(!first_start),
-      changed_(now)
+      counted_at_(now)
 {}
 
 double loss_tracker::at(instant now) const
 {
     const double counted =
-        decayed(counted_, now - changed_, options_.half_life);
+        decayed(counted_, now - counted_at_, options_.half_life);
     if (!assumes_total_loss_)
         return counted;
     return std::max(counted, decayed(1, now - started_, options_.half_life));
@@ -41,16 +41,16 @@
 void loss_tracker::note_death(std::size_t hosts, instant now)
 {
     assert(hosts > 0);
-    counted_ = decayed(counted_, now - changed_, options_.half_life) +
+    counted_ = decayed(counted_, now - counted_at_, options_.half_life) +
                1 / static_cast<double>(hosts);
-    changed_ = now;
+    counted_at_ = now;
 }
 
 void loss_tracker::merge_peer(double reported, instant now)
 {
     assumes_total_loss_ = false;
     counted_ = std::max(at(now), reported);
-    changed_ = now;
+    counted_at_ = now;
 }
 
 } // namespace fennelladder::prepaid
--- a/libs/prepaid/outage_tracker.cpp
+++ b/libs/prepaid/outage_tracker.cpp
@@ -11,9 +11,9 @@
         return;
     }
     if (began_ && now - *began_ >= options_.min_length)
-        past_.push_back({*began_, now});
+        past_outages_.push_back({*began_, now});
     began_.reset();
-    std::erase_if(past_, [&](const outage& it) {
+    std::erase_if(past_outages_, [&](const outage& it) {
         return now - it.ended > options_.retention;
     });
 }
@@ -23,7 +23,7 @@
     duration out(0);
     if (began_ && now - *began_ >= options_.min_length)
         out = now - *began_;
-    for (const outage& it : past_)
+    for (const outage& it : past_outages_)
         if (now - it.ended <= options_.retention)
             out = std::max(out, it.ended - it.began);
     return out;
--- a/libs/prepaid/stock_plan_test.cpp
+++ b/libs/prepaid/stock_plan_test.cpp
@@ -192,8 +192,8 @@
 }
 
 // Eight nodes spend the rest of a team's tokens within seconds. Guards against
-// the last tokens being spread over all of them, too holders at each for a
-// request.
+// the last tokens being spread over all of them, with too few at each node for
+// a request.
 TEST(stock_plan, the_last_tokens_are_not_spread_over_nodes)
 {
     constexpr std::int64_t left = 600'000;
--- a/libs/prepaid/urgency_reserve_test.cpp
+++ b/libs/prepaid/urgency_reserve_test.cpp
@@ -20,8 +20,9 @@
     std::int64_t tokens_each;
 };
 
-/// Shop traffic, most urgent first: short lookups, long guides, labels. The
-/// guides take two thirds of all tokens.
+/// Sample traffic, the most urgent kind first: lookups that a customer waits
+/// for, with short prompts; guides, with long prompts that take two thirds of
+/// all tokens; and labels.
 constexpr std::array traffic{kind{0, 12.5, 930}, kind{1, 11.8, 7000},
                              kind{2, 20.1, 1830}};
 
