--- a/include/fennelladder/catalog/configuration.hpp
+++ b/include/fennelladder/catalog/configuration.hpp
@@ -58,8 +58,8 @@
     bool is_public = false;  ///< Requires no key.
     bool has_prompt = false; ///< Carries a prompt and is paid in tokens.
     duration timeout{0};     ///< Time limit until the last byte.
-    duration objective{0};   ///< Target latency of the (first) answer.
-    /// Target gap between two events of a stream.
+    duration objective{0};   ///< Desired latency of the (first) answer.
+    /// Desired longest gap between two events of a stream.
     duration event_gap_objective{0};
     int urgency = 0;     ///< 0 is the most urgent.
     int max_targets = 1; ///< Most targets that may run one request.
--- a/include/fennelladder/catalog/evacuation_list.hpp
+++ b/include/fennelladder/catalog/evacuation_list.hpp
@@ -67,11 +67,11 @@
     revision as_of() const { return state_.as_of; }
 
     /// Whether any state has been received.
-    bool known() const { return known_; }
+    bool known() const { return has_state_; }
 
 private:
     evacuation_state state_;
-    bool known_ = false;
+    bool has_state_ = false;
 };
 
 } // namespace fennelladder::catalog
--- a/include/fennelladder/catalog/target_entry.hpp
+++ b/include/fennelladder/catalog/target_entry.hpp
@@ -106,17 +106,19 @@
     using entry_map = std::map<target_id, target_entry>;
 
     /// Replaces the list by a full listing as of `as_of`. If the listing is
-    /// older than the list, takes only later starts from it and returns false.
+    /// older than the list, applies only the entries whose process started
+    /// later than the one in the list, and returns false.
     bool replace_all(const std::vector<target_change>& entries, revision as_of);
 
     /// Applies the changes between this list's as_of() and `as_of`. If they are
-    /// older than the list, takes only later starts from them and returns
-    /// false.
-    /// Precondition: `changes` is complete for that span.
+    /// older than the list, applies only the entries whose process started
+    /// later than the one in the list, and returns false. Precondition:
+    /// `changes` is complete for that span.
     bool apply(const std::vector<target_change>& changes, revision as_of);
 
-    /// Applies an update that follows on the list without a gap; from any other
-    /// takes only later starts. Returns true if anything was applied.
+    /// Applies an update that follows on the list without a gap. Of any other,
+    /// applies only the entries whose process started later than the one in the
+    /// list. Returns true if anything was applied.
     bool apply_update(const target_update& update);
 
     /// The latest `most` changes. Precondition: known().
@@ -137,7 +139,7 @@
     std::uint64_t change_count() const { return change_count_; }
 
     /// Whether a first listing has been received.
-    bool known() const { return known_; }
+    bool known() const { return has_listing_; }
 
 private:
     /// Latest known start of an id, kept after its entry is removed.
@@ -153,7 +155,7 @@
     bool is_of_earlier_process(const target_change& change) const;
     bool keep_later_start(const target_change& change);
     void remember_start(const target_change& change);
-    bool take_later_starts(const std::vector<target_change>& changes);
+    bool apply_later_starts(const std::vector<target_change>& changes);
 
     static constexpr std::size_t log_limit = 1024; ///< Changes kept.
     /// Most ids whose start is kept, before those without an entry are dropped.
@@ -166,7 +168,7 @@
     revision log_from_; ///< log_ is complete after this revision.
     revision latest_change_;
     std::deque<target_change> log_;
-    bool known_ = false;
+    bool has_listing_ = false;
 };
 
 } // namespace fennelladder::catalog
--- a/libs/catalog/evacuation_list.cpp
+++ b/libs/catalog/evacuation_list.cpp
@@ -7,23 +7,23 @@
 
 bool evacuation_list::replace_all(evacuation_state state)
 {
-    if (known_ && state.as_of < state_.as_of)
+    if (has_state_ && state.as_of < state_.as_of)
         return false;
     auto& names = state.data_centers;
     std::ranges::sort(names);
     names.erase(std::unique(names.begin(), names.end()), names.end());
     if (names.size() > max_evacuations)
         names.resize(max_evacuations);
-    const bool changed = !known_ || names != state_.data_centers;
+    const bool changed = !has_state_ || names != state_.data_centers;
     state_ = std::move(state);
-    known_ = true;
+    has_state_ = true;
     return changed;
 }
 
 bool evacuation_list::apply(const std::vector<evacuation_change>& changes,
                             revision as_of)
 {
-    assert(known_);
+    assert(has_state_);
     evacuation_state next{state_.data_centers, as_of};
     for (const evacuation_change& it : changes) {
         std::erase(next.data_centers, it.data_center);
--- a/libs/catalog/target_entry.cpp
+++ b/libs/catalog/target_entry.cpp
@@ -45,11 +45,11 @@
 bool target_list::replace_all(const std::vector<target_change>& entries,
                               revision as_of)
 {
-    if (known_ && as_of < as_of_) {
-        take_later_starts(entries);
+    if (has_listing_ && as_of < as_of_) {
+        apply_later_starts(entries);
         return false;
     }
-    if (!known_)
+    if (!has_listing_)
         log_from_ = as_of;
     std::map<target_id, const target_change*> listed;
     for (const target_change& it : entries)
@@ -62,22 +62,22 @@
         target_change change = *listed_change;
         fill_in_start(change);
         const auto old = entries_.find(id);
-        if (known_ && !is_of_earlier_process(change))
+        if (has_listing_ && !is_of_earlier_process(change))
             change.at = as_of;
         if (old == entries_.end() || old->second != change.entry)
             changes.push_back(std::move(change));
     }
-    known_ = true;
+    has_listing_ = true;
     return apply(changes, as_of);
 }
 
 bool target_list::apply(const std::vector<target_change>& changes,
                         revision as_of)
 {
-    if (!known_)
+    if (!has_listing_)
         return false;
     if (as_of < as_of_) {
-        take_later_starts(changes);
+        apply_later_starts(changes);
         return false;
     }
     for (const target_change& it : changes)
@@ -88,9 +88,9 @@
 
 bool target_list::apply_update(const target_update& update)
 {
-    if (!known_)
+    if (!has_listing_)
         return false;
-    const bool later_start = take_later_starts(update.changes);
+    const bool later_start = apply_later_starts(update.changes);
     if (as_of_ < update.since || update.as_of <= as_of_)
         return later_start;
     std::vector<target_change> unknown;
@@ -178,9 +178,9 @@
 /// have the later revision. They are logged at as_of() at the latest: changes
 /// in between may be missing, and a later latest_change() would make the list
 /// appear complete.
-bool target_list::take_later_starts(const std::vector<target_change>& changes)
+bool target_list::apply_later_starts(const std::vector<target_change>& changes)
 {
-    if (!known_)
+    if (!has_listing_)
         return false;
     const std::uint64_t before = change_count_;
     for (target_change it : changes) {
@@ -214,7 +214,7 @@
 std::optional<std::vector<target_change>>
 target_list::changes_since(revision since) const
 {
-    if (!known_ || since < log_from_)
+    if (!has_listing_ || since < log_from_)
         return std::nullopt;
     std::vector<target_change> out;
     for (const target_change& it : log_)
--- a/libs/catalog/target_entry_test.cpp
+++ b/libs/catalog/target_entry_test.cpp
@@ -267,7 +267,8 @@
     CHECK(other.latest_change() == first.latest_change());
 }
 
-// A kept start is logged once, not at each listing.
+// An entry that is kept because the listing names an earlier process is added
+// to the change log once, not at each listing.
 TEST(target_list, a_kept_start_does_not_fill_the_log)
 {
     target_list list;
