--- a/libs/mesh/messages.cpp
+++ b/libs/mesh/messages.cpp
@@ -635,7 +635,8 @@
         return tl::unexpected(read.error());
     if (read->__isset.beacon && !is_valid_sender(read->beacon))
         return fail(error_code::corrupt,
-                    "heartbeat with an invalid sender, version or sequence");
+                    "heartbeat with an invalid host id, peer address, data "
+                    "centre, version, revision or sequence number");
     datagram out;
     if (read->__isset.beacon)
         out.heartbeat = from_wire(read->beacon, out.invalid_parts);
@@ -663,7 +664,8 @@
         return tl::unexpected(read.error());
     if (read->configuration < 0 || read->targets_as_of < 0)
         return fail(error_code::corrupt,
-                    "sync request with a negative version or revision");
+                    "sync request with a negative configuration version or "
+                    "target revision");
     return sync_request{
         id_of<catalog::configuration_version>(read->configuration),
         id_of<catalog::revision>(read->targets_as_of), part_of(read->part),
@@ -677,7 +679,8 @@
         return tl::unexpected(read.error());
     if (read->targets_as_of < 0 || read->served_configuration < 0)
         return fail(error_code::corrupt,
-                    "sync reply with a negative version or revision");
+                    "sync reply with a negative configuration version or "
+                    "target revision");
     sync_reply out;
     out.configuration = std::move(read->configuration);
     out.targets_as_of = id_of<catalog::revision>(read->targets_as_of);
--- a/libs/mesh/text_compression.cpp
+++ b/libs/mesh/text_compression.cpp
@@ -78,7 +78,9 @@
                         "decompressed text exceeds the limit");
     }
     if (code != Z_STREAM_END || source.stream.avail_in != 0)
-        return fail(error_code::corrupt, "invalid compressed text");
+        return fail(error_code::corrupt,
+                    "compressed text is corrupt, incomplete or has extra "
+                    "bytes at its end");
     out.shrink_to_fit();
     return out;
 }
--- a/libs/mesh/watch_policy_test.cpp
+++ b/libs/mesh/watch_policy_test.cpp
@@ -381,8 +381,9 @@
     DOUBLES_EQUAL(max_limit_factor, limit_factor({true, 1}, 1), 1e-9);
 }
 
-// A version is announced, and the node that has it disappears. The rest of the
-// bound has to suffice for a megabyte over a small link.
+// A version is announced, and the node that has it disappears. Once a node
+// requests the update itself, the time left of the deployment's bound has to
+// suffice to transfer a megabyte over a small host's link.
 TEST(watch_policy, an_announced_update_is_requested_early)
 {
     const duration transfer =
@@ -568,10 +569,10 @@
 }
 ;
 
-// Guards against a listing by every host. The platform stops answering the two
-// watchers while nothing changes, and all data grows stale. Sixty hosts listed
-// a megabyte each to confirm it, since all of them started before the first was
-// done.
+// Guards against a full listing by every host. The platform stops answering the
+// two watchers while nothing changes, and the data of all nodes becomes stale.
+// All sixty hosts then listed a megabyte each to confirm their copies, since
+// each began before the first listing was complete and could be shared.
 TEST(listing_fleet, large_hosts_save_small_ones_the_listing)
 {
     const run_record got =
