--- a/include/fennelladder/settings/settings.hpp
+++ b/include/fennelladder/settings/settings.hpp
@@ -133,8 +133,8 @@
     std::vector<entry> entries_;
     std::string positional_name_;
     std::string positional_help_;
-    std::size_t positional_low_ = 0;
-    std::size_t positional_high_ = 0;
+    std::size_t min_positionals_ = 0;
+    std::size_t max_positionals_ = 0;
     std::vector<std::string> positionals_;
 };
 
--- a/libs/settings/settings.cpp
+++ b/libs/settings/settings.cpp
@@ -125,8 +125,8 @@
                           std::string help)
 {
     positional_name_ = std::move(name);
-    positional_low_ = low;
-    positional_high_ = high;
+    min_positionals_ = low;
+    max_positionals_ = high;
     positional_help_ = std::move(help);
 }
 
@@ -211,10 +211,10 @@
         return outcome;
     for (const entry& it : entries_)
         check(it, outcome.found);
-    if (positionals_.size() < positional_low_)
+    if (positionals_.size() < min_positionals_)
         add_finding(outcome.found, command_,
                     "missing argument: " + positional_name_);
-    if (positionals_.size() > positional_high_)
+    if (positionals_.size() > max_positionals_)
         add_finding(outcome.found, positionals_.back(), "unexpected argument");
     if (!outcome.found.empty()) {
         outcome.stop = true;
@@ -272,9 +272,10 @@
     text += "\n\n" + summary_ + "\n";
     if (!positional_name_.empty())
         text += "\n  " + positional_name_ + ": " + positional_help_ + "\n";
-    text += "\nEach option is also an environment variable, such as " +
-            variable_of(entries_.empty() ? "format" : entries_.front().name) +
-            "; the option wins.\n\n";
+    text +=
+        "\nEach option can also be set by an environment variable, such as " +
+        variable_of(entries_.empty() ? "format" : entries_.front().name) +
+        "; the option takes precedence.\n\n";
     for (const entry& it : entries_) {
         std::string left = "  --" + it.name;
         if (!it.unit.empty())
