--- a/include/fennelladder/base/time.hpp
+++ b/include/fennelladder/base/time.hpp
@@ -26,8 +26,8 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-/// Clock type of the time points of one run; not tied to a clock of the
-/// machine.
+/// Clock type of `instant`, as std::chrono::time_point requires one. It has no
+/// now(): the time comes from a `clock` object, which tests can set.
 struct timeline
 {
     using duration = std::chrono::nanoseconds;
--- a/include/fennelladder/edge/stock_refiller.hpp
+++ b/include/fennelladder/edge/stock_refiller.hpp
@@ -14,7 +14,7 @@
 // every stock holder wrote for itself, seven writes in ten failed on a
 // conflict.
 //
-// Each periodic check decides anew whether this node writes, from its current
+// Each periodic check decides again whether this node writes, from its current
 // membership view. Two nodes that both act as the writer conflict with each
 // other but do no harm, since writes are conditional on the record's revision.
 // A stock holder that gets no answer from the writer writes for itself for a
@@ -126,7 +126,7 @@
                                   const std::vector<host_id>& holders) const;
     std::vector<host_id> holders() const;
     bool is_stock_holder() const;
-    bool has_urgent() const;
+    bool has_urgent_request() const;
     void update_reachability();
 
     node_tables& tables_;
--- a/libs/edge/attempt.cpp
+++ b/libs/edge/attempt.cpp
@@ -88,7 +88,8 @@
 
 void attempt::end(attempt_end how, target_evidence evidence, std::string detail)
 {
-    // What a target does after it was told to stop is not held against it.
+    // After the target was told to stop, no failure counts as evidence against
+    // it.
     const bool told_to_stop = caller_has_left();
     const bool answered = evidence == target_evidence::answered;
     out_.ended = told_to_stop && how == attempt_end::garbled
@@ -311,7 +312,8 @@
     // close the connection because of the unread bytes.
     const bool unread =
         facts.not_run && outgoing_->body.size() > max_body_read_with_head;
-    // No other request can follow once the sending side was shut down.
+    // When the caller leaves, the sending side of this connection is shut
+    // down, so no other request can be sent on it.
     const bool clean = !caller_has_left() && !unread && parser.is_done() &&
                        !parser.need_eof() && parser.keep_alive() &&
                        !facts.closes_connection && outgoing_->done &&
@@ -373,8 +375,9 @@
         passed = in_.events.events();
         record_first_byte();
         restart_idle_timer(in_.progress_timeout);
-        // The target is about to be disconnected: a partial response is
-        // useless.
+        // The caller has left, and the connection to the target is closed soon.
+        // Until then, reading continues without relaying: only a response that
+        // completes in time is still relayed.
         if (caller_has_left())
             continue;
         const bool passed_on = co_await relay_events(parser);
--- a/libs/edge/platform_feed.cpp
+++ b/libs/edge/platform_feed.cpp
@@ -129,9 +129,10 @@
     }
 }
 
-/// While the platform doesn't answer, only the targets feed tries to reach it.
-/// Guards against missing that a target leaves because a configuration of a
-/// megabyte is being transferred. Targets wait only for their own backoff.
+/// While the platform doesn't answer, the configuration feed lets the targets
+/// feed call first, for at most `max_wait_for_targets`. Otherwise the transfer
+/// of a megabyte of configuration could delay the update that a target leaves.
+/// The other feeds wait only for their own backoff.
 bool platform_feed::must_wait_for_targets(const feed_state& feed) const
 {
     if (tables_.platform.reached || &feed != &configuration_)
--- a/libs/edge/stock_refiller.cpp
+++ b/libs/edge/stock_refiller.cpp
@@ -165,7 +165,7 @@
     hooks_.on_round_done(begun);
 }
 
-bool stock_refiller::has_urgent() const
+bool stock_refiller::has_urgent_request() const
 {
     return std::ranges::any_of(requested_,
                                [](const auto& it) { return it.second.urgent; });
@@ -238,7 +238,7 @@
 {
     const prepaid::stock_options& options = tables_.options.stock;
     const duration rested = tables_.now() - last_write_;
-    if (!has_urgent() && rested < options.write_interval)
+    if (!has_urgent_request() && rested < options.write_interval)
         co_return true;
     if (rested < options.urgent_write_interval) {
         // Amounts that are requested meanwhile go into the same write.
