--- a/include/fennelladder/telemetry/crash_line.hpp
+++ b/include/fennelladder/telemetry/crash_line.hpp
@@ -4,7 +4,7 @@
 //
 // A failed assertion or an invalid memory access terminates the process at once
 // and cuts every request in flight. Without a line in the log this can't be
-// told from a power failure of the host.
+// distinguished from a power failure of the host.
 
 #ifndef FENNELLADDER_TELEMETRY_CRASH_LINE_HPP
 #define FENNELLADDER_TELEMETRY_CRASH_LINE_HPP
--- a/include/fennelladder/telemetry/line_writer.hpp
+++ b/include/fennelladder/telemetry/line_writer.hpp
@@ -57,7 +57,7 @@
 private:
     struct rate_budget
     {
-        instant second;
+        instant period_start; ///< Start of the second that `used` counts.
         int used = 0;
     };
 
--- a/libs/telemetry/crash_line_test.cpp
+++ b/libs/telemetry/crash_line_test.cpp
@@ -79,8 +79,8 @@
 TEST_GROUP(crash_line){};
 
 // All connections of a node break at once, and its log ends without an error.
-// Without a crash line, a failed assertion can't be told from a power failure
-// of the host.
+// Without a crash line, a failed assertion can't be distinguished from a
+// power failure of the host.
 TEST(crash_line, a_fatal_signal_is_logged)
 {
     for (const int number : {SIGABRT, SIGSEGV, SIGBUS, SIGFPE}) {
--- a/libs/telemetry/event_catalog.cpp
+++ b/libs/telemetry/event_catalog.cpp
@@ -16,7 +16,7 @@
     {event::node_started, severity::info, "node_started",
      "The node serves callers."},
     {event::node_stopping, severity::info, "node_stopping",
-     "A graceful shutdown began: new work is turned away."},
+     "A graceful shutdown began: new work is refused."},
     {event::node_stopped, severity::info, "node_stopped",
      "The node finished its streams, returned its tokens and exits."},
     {event::node_fenced, severity::error, "node_fenced",
@@ -26,10 +26,10 @@
     {event::node_left_unclean, severity::error, "node_left_unclean",
      "The node left before all was returned; the message says what was not."},
     {event::node_failed, severity::error, "node_failed",
-     "A fault left the node's work half done; its process ends and is started "
-     "anew."},
+     "An error left the node's work incomplete; its process ends and is "
+     "restarted."},
     {event::wish_not_applied, severity::debug, "wish_not_applied",
-     "The books did not apply a record of this node; the verdict says why."},
+     "The ledger did not apply a record of this node; the verdict says why."},
     {event::manifest_syntax, severity::error, "manifest_syntax",
      "The manifest is not JSON."},
     {event::manifest_unknown_key, severity::error, "manifest_unknown_key",
@@ -39,7 +39,7 @@
     {event::manifest_wrong_type, severity::error, "manifest_wrong_type",
      "A value of the manifest has the wrong type."},
     {event::manifest_duplicate, severity::error, "manifest_duplicate",
-     "An id, reference, address or key stands twice in the manifest."},
+     "An id, reference, address or key occurs twice in the manifest."},
     {event::manifest_dangling, severity::error, "manifest_dangling",
      "The manifest refers to something that it does not define."},
     {event::manifest_out_of_range, severity::error, "manifest_out_of_range",
@@ -56,7 +56,7 @@
     {event::configuration_older_refused, severity::warning,
      "configuration_older_refused",
      "A watch, peer or the platform offered a generation below the highest "
-     "seen; it is passed over."},
+     "seen; it is ignored."},
     {event::configuration_contradiction, severity::error,
      "configuration_contradiction",
      "Two configurations carry one generation; the one seen first holds. Was "
@@ -71,34 +71,37 @@
     {event::news_fetched, severity::info, "news_fetched",
      "Targets or a configuration came from a peer that knew more."},
     {event::news_fetch_failed, severity::warning, "news_fetch_failed",
-     "A peer that announced targets or a configuration wasn't reached, fell "
-     "silent, or sent what can't be read; another is asked."},
+     "A peer that announced targets or a configuration couldn't be reached, "
+     "stopped answering, or sent invalid data; the node asks another one."},
     {event::news_stale, severity::warning, "news_stale",
-     "What the node knows is old and nobody confirms it; it asks the platform "
-     "by itself from now on."},
+     "The node's targets, configuration or evacuations are old and "
+     "unconfirmed; it now asks the platform itself."},
     {event::loop_lagged, severity::warning, "loop_lagged",
-     "The node's loop stood still: it read something large, or the host gave "
-     "it no processor time."},
+     "The node's event loop stalled: it parsed something large, or the host "
+     "gave it no processor time."},
     {event::news_stale_over, severity::info, "news_stale_over",
-     "The node leaves asking the platform to others again."},
+     "The node's state is no longer stale; it leaves asking the platform to "
+     "other nodes again."},
     {event::platform_well, severity::info, "platform_well",
-     "The platform answers again in good time."},
+     "The platform answers again in time."},
     {event::platform_slow, severity::warning, "platform_slow",
      "The platform answers, but late."},
     {event::platform_out, severity::warning, "platform_out",
-     "The platform doesn't answer, or turns calls away; work goes on."},
+     "The platform doesn't answer or rejects calls; the node keeps serving."},
     {event::platform_calls_over_rate, severity::warning,
      "platform_calls_over_rate",
-     "A call was given up because the node has used its share of the rates."},
+     "A call to the platform was not made because the node has used its share "
+     "of the permitted call rate."},
     {event::journal_layout_differs, severity::warning, "journal_layout_differs",
      "The setting for the journal's shards or slots differs from the stored "
      "one, which holds."},
     {event::journal_corrupt, severity::error, "journal_corrupt",
-     "An object of the journal can't be read; its shard stands still."},
+     "An object of the journal can't be read; its shard is halted."},
     {event::journal_writer_retired, severity::error, "journal_writer_retired",
-     "A shard says that this incarnation is over; the node must start anew."},
+     "A shard says that this incarnation is over; the node must be "
+     "restarted."},
     {event::journal_backlog, severity::warning, "journal_backlog",
-     "Wishes wait in memory because the platform can't be written to."},
+     "Records wait in memory because the platform can't be written to."},
     {event::member_suspected, severity::info, "member_suspected",
      "A node didn't answer a probe, nor the probes of others; it leaves the "
      "entry answers."},
@@ -109,7 +112,8 @@
     {event::host_name_doubled, severity::error, "host_name_doubled",
      "Another process runs under this node's host name."},
     {event::node_was_paused, severity::warning, "node_was_paused",
-     "This node didn't run for seconds and drops what it was waiting for."},
+     "This node's process was paused for seconds; it abandons its "
+     "outstanding probes of other nodes."},
     {event::order_given, severity::info, "order_given",
      "An order was given to an engine; reading it back shows whether it took "
      "effect."},
@@ -129,10 +133,10 @@
      "The record of roll-outs can't be read; no engine is taken out of "
      "service."},
     {event::engine_deviated, severity::warning, "engine_deviated",
-     "An engine that was as it should be no longer is (a restart, or a late "
-     "order) and is brought back."},
+     "An engine left its intended state (a restart, or a late order) and is "
+     "brought back to it."},
     {event::rollout_changed, severity::info, "rollout_changed",
-     "A roll-out went a step further, or an engine left it."},
+     "A roll-out advanced a step, or an engine left it."},
     {event::rollout_stopped, severity::error, "rollout_stopped",
      "A new model version failed to load; the roll-out stops."},
     {event::request_unknown, severity::info, "request_unknown",
@@ -146,9 +150,9 @@
     {event::request_quarantined, severity::error, "request_quarantined",
      "Two targets died while running a request; it is refused from now on."},
     {event::retries_exhausted, severity::warning, "retries_exhausted",
-     "The budget of retries is used up; requests fail at their first fault."},
+     "The budget of retries is used up; requests fail at their first error."},
     {event::connection_silent, severity::warning, "connection_silent",
-     "A connection fell silent while a fresh one works; it was replaced."},
+     "A connection stopped answering while a new one works; it was replaced."},
     {event::answer_crossed, severity::warning, "answer_crossed",
      "A target sent part of another request's answer; none of it was relayed."},
     {event::request_keys_full, severity::warning, "request_keys_full",
@@ -157,17 +161,17 @@
     {event::settings_reloaded, severity::info, "settings_reloaded",
      "The settings file was read again; what changed is in force."},
     {event::settings_unreadable, severity::error, "settings_unreadable",
-     "The settings file can't be read or has faults; the settings in force "
-     "stay."},
+     "The settings file can't be read or is invalid; the present settings "
+     "stay in force."},
     {event::log_lines_dropped, severity::warning, "log_lines_dropped",
-     "Lines were left out to keep the log's volume bounded; the counts are by "
+     "Lines were dropped to keep the log's volume bounded; the counts are by "
      "event."},
     {event::configuration_unreadable, severity::error,
      "configuration_unreadable",
      "A configuration can't be decoded; the last good one stays in force."},
     {event::object_unreadable, severity::warning, "object_unreadable",
-     "A target's or node's entry, an answer or a message can't be read; it "
-     "counts as not there, the others hold."},
+     "A target's or node's entry, an answer or a message can't be decoded; it "
+     "is ignored, and all others stay valid."},
     {event::news_late, severity::warning, "news_late",
      "Changes reach the node too late, as on a full link: it takes no callers "
      "until they are in time again."},
@@ -191,12 +195,13 @@
     {event::allotment_unreadable, severity::error, "allotment_unreadable",
      "The allotment record can't be decoded; nothing is taken out of it."},
     {event::tokens_stranded, severity::warning, "tokens_stranded",
-     "Tokens are lost to their team: the node couldn't hand them on."},
+     "Tokens are lost to their team: the node couldn't hand them over to "
+     "another node."},
     {event::tokens_held, severity::info, "tokens_held",
      "What the node holds of all teams' tokens, every ten seconds."},
     {event::tokens_lost, severity::warning, "tokens_lost",
-     "Another node's process ended without handing its tokens on; the amount "
-     "is what it last said to hold."},
+     "Another node's process ended without handing over its tokens; the "
+     "amount is the last that it reported."},
     {event::request_answered, severity::info, "request_answered",
      "A request got its whole answer."},
     {event::request_refused, severity::warning, "request_refused",
@@ -215,27 +220,27 @@
     {event::request_unread, severity::info, "request_unread",
      "A caller's connection ended before its request was read whole."},
     {event::connection_not_taken, severity::warning, "connection_not_taken",
-     "A caller's connection was not taken up: the host holds as many as it "
-     "may, or the system gave no more."},
+     "A caller's connection was not accepted: the host has reached its limit "
+     "of connections, or the system allows no more."},
     {event::call_rejected, severity::info, "call_rejected",
-     "A request was turned away for what it is: no such route, no valid key, "
-     "or no proper request."},
+     "A request was rejected as invalid: no such route, no valid key, or a "
+     "malformed request."},
     {event::target_died, severity::warning, "target_died",
-     "A target broke off its answers and can't be reached; what ran there is "
-     "suspected."},
+     "A target broke off its answers and can't be reached; the requests that "
+     "ran there are suspected of causing it."},
     {event::target_limited, severity::info, "target_limited",
-     "A target names another limit of requests a second from all nodes "
-     "together, or none any more."},
+     "A target changed or removed its limit on requests per second from all "
+     "nodes together."},
     {event::target_leaving, severity::info, "target_leaving",
      "A target says in its answers that it leaves, whatever its entry says."},
     {event::target_rests, severity::info, "target_rests",
-     "A target turned a request away and wants none from this node for a "
+     "A target rejected a request and asked this node to send none for a "
      "while."},
     {event::node_heard, severity::info, "node_heard",
      "Another node, or a new life of it, was heard for the first time."},
     {event::node_state_changed, severity::info, "node_state_changed",
-     "Another node became ready or began to leave, or its configuration moved "
-     "on."},
+     "Another node became ready or began to leave, or its configuration "
+     "changed."},
     {event::mesh_sent, severity::info, "mesh_sent",
      "Bytes and datagrams that the node sent to others since the last such "
      "line."},
--- a/libs/telemetry/line_writer.cpp
+++ b/libs/telemetry/line_writer.cpp
@@ -26,8 +26,8 @@
 bool line_writer::consume_budget(const event_description& what, instant now)
 {
     rate_budget& it = budgets_[what.number];
-    if (now - it.second >= seconds(1)) {
-        it.second = now;
+    if (now - it.period_start >= seconds(1)) {
+        it.period_start = now;
         it.used = 0;
     }
     const int limit = what.level >= severity::warning
