--- a/libs/report/request_timeline.cpp
+++ b/libs/report/request_timeline.cpp
@@ -139,7 +139,7 @@
     if (it.last.get("caller_end").empty())
         return out;
     return out + " The caller had ended its connection, or its sending side, "
-                 "before; it may not have taken the answer.";
+                 "before; it may not have received the answer.";
 }
 
 std::string explain_late(const request_ending& it)
@@ -192,7 +192,7 @@
         out += " Its connection ended by: " + std::string(end) + ".";
     const auto lag = it.last.get("lag_ms");
     if (!lag.empty() && lag != "0")
-        out += " The node's event loop had stood still for up to " +
+        out += " The node's event loop had stalled for up to " +
                std::string(lag) + " ms within the second before.";
     return out;
 }
@@ -254,8 +254,8 @@
     const auto found = context.find(event::log_lines_dropped);
     if (found == context.end())
         return "";
-    return "Note: " + std::to_string(found->second.size()) +
-           " times a node left lines out (event " +
+    return "Note: nodes reported " + std::to_string(found->second.size()) +
+           " times that they dropped log lines (event " +
            std::to_string(event::log_lines_dropped) + ").\n";
 }
 
@@ -334,7 +334,7 @@
 {
     std::ostringstream out;
     if (request_lines_.empty()) {
-        out << "No line tells of request " << id_ << ".\n"
+        out << "No log line mentions request " << id_ << ".\n"
             << dropped_lines_note(context_);
         return out.str();
     }
