--- a/apps/fennelladder/command_status.cpp
+++ b/apps/fennelladder/command_status.cpp
@@ -183,7 +183,7 @@
 {
     const auto layout = journal::find_layout(store);
     if (!layout)
-        return add_trouble(view, "journal layout", layout.error());
+        return add_trouble(view, "journal's layout", layout.error());
     budget::budget_report report({.limit = 0});
     view.books = read_books(store, *layout,
                             [&](const auto& books) { report.add(books); });
--- a/include/fennelladder/mesh/transit_delay.hpp
+++ b/include/fennelladder/mesh/transit_delay.hpp
@@ -1,7 +1,7 @@
 // How much longer than usual messages of one peer are in transit.
 //
 //     transit_delay transit;
-//     const duration late = way.record(heartbeat.sent, now);
+//     const duration late = transit.record(heartbeat.sent, now);
 //
 // The clocks of two hosts differ by an unknown amount, so a single message
 // doesn't reveal its transit time. The least difference seen between arrival
